--- a/dunehold/bookkeeping/packs/rows.py
+++ b/dunehold/bookkeeping/batches/encoding.py
@@ -14,16 +14,16 @@
 from dunehold.protocol.users import JobSpec, decode_job_object, encode_job
 from dunehold.types import JobId, WallTime
 
-FRAME_BYTES, END_FRAME_BYTES = 16, 40  # what is around the rows
-ROW_BYTES = 2  # a comma, and the rounding of a time
+JOB_FRAME_BYTES, COMPLETION_FRAME_BYTES = 16, 40  # what is around the rows
+ROW_OVERHEAD_BYTES = 2  # a comma, and the rounding of a time
 
 
-class Accepted(NamedTuple):
+class AcceptedJob(NamedTuple):
     spec: JobSpec
     at: WallTime
 
 
-class Ended(NamedTuple):
+class CompletedJob(NamedTuple):
     """A job all of whose tasks are done."""
 
     id: JobId
@@ -33,7 +33,7 @@
 
 
 @dataclass(slots=True)
-class Packer:
+class JobBatchBuilder:
     """Fills a value of at most ``room`` bytes with submissions.
 
     A row holds only what differs from the row before: the jobs of a swarm are alike, and
@@ -41,12 +41,12 @@
     added there needs nothing here.
     """
 
-    room: int
+    max_bytes: int
     rows: list[list[Any]] = field(default_factory=list)
-    size: int = FRAME_BYTES  # in bytes, rather too much than too little
+    size_bytes: int = JOB_FRAME_BYTES  # in bytes, rather too much than too little
     _last: dict[str, Any] = field(default_factory=dict)
 
-    def add(self, accepted: Accepted) -> bool:
+    def add(self, accepted: AcceptedJob) -> bool:
         """False when it does not fit any more; the pack is as before then."""
         full = encode_job(accepted.spec)
         changed = {
@@ -57,10 +57,10 @@
         # What only the row before had must not be read into this one.
         changed.update(dict.fromkeys(self._last.keys() - full.keys()))
         row = [accepted.at, changed]
-        size = len(codec.dump(row)) + ROW_BYTES
-        if self.size + size > self.room:
+        size = len(codec.dump(row)) + ROW_OVERHEAD_BYTES
+        if self.size_bytes + size > self.max_bytes:
             return False
-        self.size += size
+        self.size_bytes += size
         self._last = full
         self.rows.append(row)
         return True
@@ -69,41 +69,41 @@
         return {"jobs": self.rows}
 
 
-def own_bytes(spec: JobSpec, at: WallTime) -> int:
+def single_job_batch_bytes(spec: JobSpec, at: WallTime) -> int:
     """What one submission takes in a pack of its own; of any pack it takes no more."""
-    return FRAME_BYTES + ROW_BYTES + len(codec.dump([at, encode_job(spec)]))
+    return JOB_FRAME_BYTES + ROW_OVERHEAD_BYTES + len(codec.dump([at, encode_job(spec)]))
 
 
-def decode_accepted(value: Any) -> list[Accepted]:
+def decode_job_batch(value: Any) -> list[AcceptedJob]:
     """BadMessage when anything in it is malformed: half a pack would be lost jobs."""
     if not isinstance(value, dict):
         raise BadMessage("pack of submissions")
-    found: list[Accepted] = []
+    found: list[AcceptedJob] = []
     last: dict[str, Any] = {}
     for row in codec.lists(value, "jobs"):
         if len(row) != 2 or not isinstance(row[1], dict):
             raise BadMessage("pack of submissions: row")
         last = {**last, **row[1]}
         at = WallTime(codec.amount({"at": row[0]}, "at"))
-        found.append(Accepted(decode_job_object(last), at))
+        found.append(AcceptedJob(decode_job_object(last), at))
     return found
 
 
 @dataclass(slots=True)
-class EndPacker:
+class CompletionBatchBuilder:
     """Fills a value of at most ``room`` bytes with ends."""
 
-    room: int
+    max_bytes: int
     at: WallTime | None = None  # when they ended, the same for all of a pack
     rows: list[list[Any]] = field(default_factory=list)
-    size: int = END_FRAME_BYTES
+    size_bytes: int = COMPLETION_FRAME_BYTES
 
-    def add(self, ended: Ended) -> bool:
+    def add(self, ended: CompletedJob) -> bool:
         row = [ended.id, ended.tasks, ended.accepted_at]
-        size = len(codec.dump(row)) + ROW_BYTES
-        if self.size + size > self.room:
+        size = len(codec.dump(row)) + ROW_OVERHEAD_BYTES
+        if self.size_bytes + size > self.max_bytes:
             return False
-        self.size += size
+        self.size_bytes += size
         self.rows.append(row)
         return True
 
@@ -111,7 +111,7 @@
         return {"done": self.rows, "end": self.at}
 
 
-def decode_ended(value: Any) -> list[Ended]:
+def decode_completion_batch(value: Any) -> list[CompletedJob]:
     if not isinstance(value, dict):
         raise BadMessage("pack of ends")
     found = []
@@ -122,5 +122,5 @@
             raise BadMessage("pack of ends: row")
         named = dict(zip(("job", "tasks", "at"), row, strict=True))
         job, tasks = JobId(codec.text(named, "job")), codec.count(named, "tasks")
-        found.append(Ended(job, tasks, WallTime(codec.amount(named, "at")), ended_at))
+        found.append(CompletedJob(job, tasks, WallTime(codec.amount(named, "at")), ended_at))
     return found
--- a/dunehold/bookkeeping/packs/shelf.py
+++ b/dunehold/bookkeeping/batches/index.py
@@ -8,7 +8,7 @@
 
 
 @dataclass(slots=True)
-class Shelf:
+class JobBatchIndex:
     """Packs by the jobs that are on record nowhere else.
 
     A pack whose jobs have all ended says nothing that isn't written elsewhere. An end is
@@ -16,17 +16,17 @@
     """
 
     live: dict[str, set[JobId]] = field(default_factory=dict)  # pack -> its jobs not ended
-    spent: dict[str, None] = field(default_factory=dict)  # to be deleted, oldest first
+    obsolete: dict[str, None] = field(default_factory=dict)  # to be deleted, oldest first
     count: int = 0  # of packs that ever came
 
-    def put(self, pack: str, jobs: set[JobId]) -> None:
+    def add(self, pack: str, jobs: set[JobId]) -> None:
         self.count += 1
         if jobs:
             self.live[pack] = jobs
         else:
-            self.spent[pack] = None
+            self.obsolete[pack] = None
 
-    def ended(self, pack: str, job: JobId) -> None:
+    def job_ended(self, pack: str, job: JobId) -> None:
         """The job is over, or has proved to be another pack's."""
         jobs = self.live.get(pack)
         if jobs is None:
@@ -34,8 +34,8 @@
         jobs.discard(job)
         if not jobs:
             del self.live[pack]
-            self.spent[pack] = None
+            self.obsolete[pack] = None
 
-    def deleted(self, pack: str) -> None:
+    def remove(self, pack: str) -> None:
         self.live.pop(pack, None)
-        self.spent.pop(pack, None)
+        self.obsolete.pop(pack, None)
--- a/dunehold/bookkeeping/needs.py
+++ b/dunehold/bookkeeping/dependencies.py
@@ -15,31 +15,31 @@
 
 
 @dataclass(slots=True)
-class Needs:
-    waits: dict[JobId, set[JobId]] = field(default_factory=dict)  # for whom, not done yet
-    after: dict[JobId, dict[JobId, None]] = field(default_factory=dict)  # who needs it
-    loosened: list[JobId] = field(default_factory=list)  # that somebody needs no more
+class DependencyIndex:
+    pending: dict[JobId, set[JobId]] = field(default_factory=dict)  # for whom, not done yet
+    dependents: dict[JobId, dict[JobId, None]] = field(default_factory=dict)  # who needs it
+    no_longer_needed: list[JobId] = field(default_factory=list)  # that somebody needs no more
 
     def add(self, job: JobId, needed: Iterable[JobId]) -> None:
         """The job waits for these; for none of them, it does not wait."""
         left = set(needed)
         if left:
-            self.waits[job] = left
+            self.pending[job] = left
             for need in sorted(left):
-                self.after.setdefault(need, {})[job] = None
+                self.dependents.setdefault(need, {})[job] = None
 
-    def done(self, job: JobId) -> list[JobId]:
+    def complete(self, job: JobId) -> list[JobId]:
         """Who waits for nobody any more, now that this job is done."""
         free = []
-        for follower in self.after.pop(job, ()):
-            left = self.waits[follower]
+        for follower in self.dependents.pop(job, ()):
+            left = self.pending[follower]
             left.discard(job)
             if not left:
-                del self.waits[follower]
+                del self.pending[follower]
                 free.append(follower)
         return free
 
-    def cancelled(self, job: JobId) -> list[JobId]:
+    def cancel(self, job: JobId) -> list[JobId]:
         """All that need this job, directly or through others; they are forgotten here.
 
         Guards against chains of any depth: no call of itself for each link.
@@ -47,7 +47,7 @@
         found: dict[JobId, None] = {}
         stack = [job]
         while stack:
-            for follower in self.after.pop(stack.pop(), ()):
+            for follower in self.dependents.pop(stack.pop(), ()):
                 if follower not in found:
                     found[follower] = None
                     self.forget(follower)
@@ -56,10 +56,10 @@
 
     def forget(self, job: JobId) -> None:
         """It waits no more: it is over."""
-        for need in self.waits.pop(job, ()):
-            followers = self.after.get(need)
+        for need in self.pending.pop(job, ()):
+            followers = self.dependents.get(need)
             if followers is not None:
-                self.loosened.append(need)
+                self.no_longer_needed.append(need)
                 followers.pop(job, None)
                 if not followers:
-                    del self.after[need]
+                    del self.dependents[need]
--- a/dunehold/bookkeeping/disruptions.py
+++ b/dunehold/bookkeeping/disruptions.py
@@ -13,15 +13,15 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from dunehold.budgets import Budgets
+from dunehold.budgets import DisruptionBudgets
 from dunehold.protocol.codec import BadMessage
-from dunehold.types import EPSILON, MANY, JobId, MonotonicTime, TaskId, Team, WallTime
+from dunehold.types import EPSILON, UNBOUNDED, JobId, MonotonicTime, TaskId, Team, WallTime
 
 FORMAT = 1
 
 
 @dataclass(frozen=True, slots=True)
-class Hit:
+class Disruption:
     """Work that is to be stopped: so many tasks of a job; a service's are replicas."""
 
     team: Team
@@ -32,7 +32,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Whole:
+class TeamTotals:
     """What a team has on machines, what its budget's shares are shares of."""
 
     tasks: int = 0
@@ -41,15 +41,15 @@
 
 @dataclass(slots=True)
 class _Row:
-    hit: Hit
+    hit: Disruption
     until: MonotonicTime  # it counts till then at least
     task: TaskId | None  # whose return ends it; None: nobody knows which
     choice: bool
 
 
 @dataclass(slots=True)
-class Disruptions:
-    budgets: Budgets
+class DisruptionTracker:
+    budgets: DisruptionBudgets
     _rows: list[_Row] = field(default_factory=list)
     # Stopped, and not seen to run since, by job: what ends takes all of it along.
     _open: dict[JobId, set[TaskId]] = field(default_factory=dict)
@@ -58,14 +58,16 @@
 
     # -- asking ----------------------------------------------------------------------------
 
-    def refusal(self, hit: Hit, whole: Whole, replicas: int = 0, up: int = 0) -> str | None:
+    def refusal(
+        self, hit: Disruption, whole: TeamTotals, replicas: int = 0, up: int = 0
+    ) -> str | None:
         """Why this may not be stopped by choice now, or None.
 
         ``replicas`` and ``up`` are a service's wanted ones and those up, the ones to be
         stopped included.
         """
         budget = self.budgets.of(hit.team)
-        tasks, cpus = self.spent(hit.team)
+        tasks, cpus = self.budget_used(hit.team)
         if hit.service:
             least = budget.least_up.of(replicas)
             if up - hit.tasks < least - EPSILON:
@@ -82,14 +84,14 @@
             return f"team {hit.team}: {budget.cpus} of its CPUs at once"
         return None
 
-    def spent(self, team: Team) -> tuple[int, float]:
+    def budget_used(self, team: Team) -> tuple[int, float]:
         """Tasks and CPUs of a team that count now."""
         return self._spent.get(team, (0, 0.0))
 
-    def exhausted(self, team: Team, whole: Whole) -> bool:
+    def exhausted(self, team: Team, whole: TeamTotals) -> bool:
         """Not even the smallest task of it may be stopped."""
         budget = self.budgets.of(team)
-        tasks, cpus = self.spent(team)
+        tasks, cpus = self.budget_used(team)
         return (
             tasks + 1 > budget.tasks.of(whole.tasks + tasks) + EPSILON
             or cpus >= budget.cpus.of(whole.cpus + cpus) - EPSILON
@@ -97,7 +99,7 @@
 
     # -- counting --------------------------------------------------------------------------
 
-    def note(self, hit: Hit, task: TaskId, now: MonotonicTime, choice: bool) -> None:
+    def add(self, hit: Disruption, task: TaskId, now: MonotonicTime, choice: bool) -> None:
         """One task is stopped, or was lost. One that is disrupted already counts once."""
         if self._is_open(task):
             return
@@ -110,10 +112,10 @@
         for team in teams:
             until = MonotonicTime(now + self.budgets.of(team).window_s)
             for service in (False, True):
-                hit = Hit(team, JobId(""), MANY, float(MANY), service)
+                hit = Disruption(team, JobId(""), UNBOUNDED, float(UNBOUNDED), service)
                 self._add(_Row(hit, until, None, False))
 
-    def restored(self, task: TaskId) -> None:
+    def task_restored(self, task: TaskId) -> None:
         """It runs again, or is not wanted any more; its row goes once its window is over."""
         left = self._open.get(task.job)
         if left is not None:
@@ -121,14 +123,14 @@
             if not left:
                 del self._open[task.job]
 
-    def over(self, job: JobId) -> None:
+    def job_ended(self, job: JobId) -> None:
         """The job has ended: nothing of it is missing."""
         self._open.pop(job, None)
 
     def _is_open(self, task: TaskId) -> bool:
         return task in self._open.get(task.job, ())
 
-    def step(self, now: MonotonicTime) -> None:
+    def expire(self, now: MonotonicTime) -> None:
         """Let go of what counts no more."""
         kept = [
             row
@@ -145,7 +147,7 @@
     def _add(self, row: _Row) -> None:
         hit = row.hit
         self._rows.append(row)
-        tasks, cpus = self.spent(hit.team)
+        tasks, cpus = self.budget_used(hit.team)
         self._spent[hit.team] = (
             tasks + (0 if hit.service else hit.tasks),
             cpus + hit.cpus,
@@ -155,7 +157,9 @@
 
     # -- the durable record ------------------------------------------------------------------
 
-    def record(self, more: Iterable[Hit], now: MonotonicTime, wall: WallTime) -> dict[str, Any]:
+    def encode(
+        self, more: Iterable[Disruption], now: MonotonicTime, wall: WallTime
+    ) -> dict[str, Any]:
         """What was done by choice and still counts, with what is about to be.
 
         By team and, of services, by job: it does not grow with the number of tasks.
@@ -179,12 +183,12 @@
     def restore(self, value: Any, now: MonotonicTime, wall: WallTime) -> None:
         """Begin with what the leader before wrote down: all of it spent, for a window from now
         at least, since which of its tasks run again is not known."""
-        for hit, until in read(value):
+        for hit, until in decode_disruptions(value):
             left = max(until - wall, float(self.budgets.of(hit.team).window_s))
             self._add(_Row(hit, MonotonicTime(now + left), None, True))
 
 
-def read(value: Any) -> list[tuple[Hit, WallTime]]:
+def decode_disruptions(value: Any) -> list[tuple[Disruption, WallTime]]:
     """The durable record's rows; BadMessage for one of a format that is not known."""
     if value is None:
         return []
@@ -196,6 +200,6 @@
         if not isinstance(row, list) or len(row) != 5:
             raise BadMessage("disruptions record")
         team, job, tasks, cpus, until = row
-        hit = Hit(Team(team), JobId(job or ""), int(tasks), float(cpus), job is not None)
+        hit = Disruption(Team(team), JobId(job or ""), int(tasks), float(cpus), job is not None)
         found.append((hit, WallTime(float(until))))
     return found
--- a/dunehold/bookkeeping/hosts.py
+++ b/dunehold/bookkeeping/hosts.py
@@ -5,21 +5,21 @@
 from dataclasses import dataclass, field
 
 from dunehold.types import (
-    NO_ROOM,
+    NO_RESOURCES,
     AttemptId,
     Duration,
+    ExitReason,
     HostId,
     Image,
     MonotonicTime,
     OrderId,
-    Room,
+    Resources,
     Sequence,
     Session,
     TaskPhase,
     Team,
     Tier,
     TypeName,
-    Why,
     Zone,
 )
 
@@ -33,23 +33,23 @@
     id: AttemptId
     host: HostId
     team: Team
-    need: Room
+    need: Resources
     image: Image
     image_gb: float
     planned_at: MonotonicTime
     service: bool = False
-    logged: bool = False  # in the durable log of starts: it may be commanded
+    start_logged: bool = False  # in the durable log of starts: it may be commanded
     adopted: bool = False  # from another leader: when it began is not known
-    seen: bool = False  # the worker has reported it
-    in_reply: bool = False  # in a report response that may have been carried out
-    unanswered: int = 0  # direct starts without an answer: they may still be carried out
+    reported: bool = False  # the worker has reported it
+    in_report_response: bool = False  # in a report response that may have been carried out
+    unanswered_starts: int = 0  # direct starts without an answer: they may still be carried out
     phase: TaskPhase = TaskPhase.FETCHING
-    cached: bool = False  # its image was on the machine when the start was planned
+    image_cached: bool = False  # its image was on the machine when the start was planned
     tier: Tier = Tier.FOREGROUND
     running_at: MonotonicTime | None = None
-    late: bool = False  # seen to run only after a silence
-    why: Why | None = None
-    stop_grace: Duration | None = None
+    first_seen_late: bool = False  # seen to run only after a silence
+    exit_reason: ExitReason | None = None
+    stop_grace_s: Duration | None = None
     duration_s: Duration | None = None  # how long it ran, once it has exited
 
     @property
@@ -63,7 +63,7 @@
     @property
     def unsent(self) -> bool:
         """Nobody can have carried out its start: it can still be taken back."""
-        return not (self.seen or self.in_reply or self.unanswered)
+        return not (self.reported or self.in_report_response or self.unanswered_starts)
 
 
 @dataclass(slots=True)
@@ -76,29 +76,32 @@
     spot: bool
     address: str
     created_at: MonotonicTime
-    room: Room
+    capacity: Resources
     session: Session = Session(0)
     sequence: Sequence = Sequence(0)
-    dead_session: Session = Session(0)
-    fed_at: MonotonicTime | None = None  # the latest that its lease can count from
-    confirmed: bool = False  # its worker has seen our token: no older leader can feed it
-    known: bool = False  # has reported under our token, in its present session
+    expired_session: Session = Session(0)
+    lease_renewed_at: MonotonicTime | None = None  # the latest that its lease can count from
+    token_confirmed: bool = False  # its worker has seen our token: no older leader can feed it
+    session_known: bool = False  # has reported under our token, in its present session
     fenced: bool = False  # everything on it is proved gone
     up: bool = False
     boot_noted: bool = False  # that it came up in time, or did not
     draining: str | None = None
     order: OrderId | None = None  # of operators, by which it runs empty
-    kept: bool = False  # stays rented by it, though nothing is on it
+    retained_by_order: bool = False  # stays rented by it, though nothing is on it
     deleting: bool = False
-    notice_at: MonotonicTime | None = None
+    reclaim_at: MonotonicTime | None = None
     runs: dict[AttemptId, Run] = field(default_factory=dict)
-    used: Room = NO_ROOM
+    used: Resources = NO_RESOURCES
     images: dict[Image, tuple[MonotonicTime, float]] = field(default_factory=dict)  # use, GB
     heard_at: MonotonicTime = NEVER_HEARD  # when its worker was heard of last
     # Its answers to direct calls renew no lease: only what reports, in this session, lives on.
-    reports: bool = False
+    is_reporting: bool = False
     reported_at: MonotonicTime = NEVER_HEARD  # or when a session that doesn't was first heard
-    newest: tuple[Session, Sequence] = (Session(0), Sequence(0))  # of its reports, any token
+    newest_report: tuple[Session, Sequence] = (
+        Session(0),
+        Sequence(0),
+    )  # of its reports, any token
     idle_since: MonotonicTime | None = None
     error_at: MonotonicTime | None = None  # a task failed: its job, or this machine
     quarantined_at: MonotonicTime | None = None
@@ -108,13 +111,16 @@
     version: int = 0  # counts every change of what is on it
 
     @property
-    def free(self) -> Room:
-        return self.room.minus(self.used)
+    def free(self) -> Resources:
+        return self.capacity.minus(self.used)
 
     @property
-    def spoke_at(self) -> MonotonicTime:
+    def last_heard_at(self) -> MonotonicTime:
         """When its worker was heard of last, whichever token it had seen by then."""
-        return max(self.heard_at, self.fed_at if self.fed_at is not None else NEVER_HEARD)
+        return max(
+            self.heard_at,
+            self.lease_renewed_at if self.lease_renewed_at is not None else NEVER_HEARD,
+        )
 
     @property
     def busy(self) -> bool:
@@ -123,20 +129,20 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Exit:
+class AttemptExit:
     """An attempt that was seen to exit."""
 
     run: Run
-    why: Why
+    exit_reason: ExitReason
     saved: bool
 
 
 @dataclass(frozen=True, slots=True)
-class Outcome:
+class ReportOutcome:
     """What a report changed."""
 
     accepted: bool
-    exits: tuple[Exit, ...] = ()
+    exits: tuple[AttemptExit, ...] = ()
     lost: tuple[Run, ...] = ()
     adopted: tuple[Run, ...] = ()
     begun: tuple[Run, ...] = ()  # seen to run for the first time
--- a/dunehold/bookkeeping/ledger.py
+++ b/dunehold/bookkeeping/ledger.py
@@ -11,47 +11,49 @@
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass, field
 
-from dunehold.bookkeeping.hosts import Exit, Host, Outcome, Run
+from dunehold.bookkeeping.hosts import AttemptExit, Host, ReportOutcome, Run
 from dunehold.bookkeeping.records import JobRecord
-from dunehold.bookkeeping.unseen import Unseen
+from dunehold.bookkeeping.unreconciled import UnreconciledHosts
 from dunehold.bookkeeping.view import View
 from dunehold.protocol.cloud import MachineType
 from dunehold.protocol.users import JobSpec
 from dunehold.protocol.workers import Command, Forget, Report, Start, Stop, TaskReport
 from dunehold.settings import TeamSettings
 from dunehold.types import (
-    NO_ROOM,
+    NO_RESOURCES,
     Attempt,
     AttemptId,
     Duration,
+    ExitReason,
     HostId,
     Image,
     JobId,
+    JobKind,
     JobPhase,
-    Kind,
     MonotonicTime,
     OrderId,
-    Room,
+    Resources,
     TaskId,
     TaskPhase,
     Team,
     Tier,
     Token,
     TypeName,
-    Why,
     Zone,
 )
 
 log = logging.getLogger(__name__)
 
 ATTEMPT_BITS = 32
-DRIFT = 1.002  # two clocks that each run up to 0.05% fast, with room to spare
+WORKER_LEASE_DRIFT_FACTOR = (
+    1.002  # two clocks that each run up to 0.05% fast, with room to spare
+)
 LEASE_MARGIN_S = 0.5
-TIMELY_SHARE = 1 / 3  # of a lease: longer without a report, and times mean little
-RELAY_S = 2.5  # a node feeds for another by proofs that are at most 2 s old
+TIMELY_LEASE_FRACTION = 1 / 3  # of a lease: longer without a report, and times mean little
+RELAY_EXPIRY_S = 2.5  # a node feeds for another by proofs that are at most 2 s old
 
 
-IGNORED = Outcome(False)
+IGNORED = ReportOutcome(False)
 
 
 @dataclass(slots=True)
@@ -64,26 +66,34 @@
     teams: dict[Team, TeamSettings]
     types: dict[TypeName, MachineType]
     lease_s: Duration
-    feed_limit_s: Duration  # how long a node feeds leases without proof of a current view
+    max_proof_age_s: Duration  # how long a node feeds leases without proof of a current view
     hosts: dict[HostId, Host] = field(default_factory=dict)
-    present: dict[TaskId, list[Run]] = field(default_factory=dict)
-    by_job: dict[JobId, dict[TaskId, Zone]] = field(default_factory=dict)
-    use: dict[Team, Room] = field(default_factory=dict)
-    done: dict[JobId, set[int]] = field(default_factory=dict)  # reported, maybe not durable
-    gone: set[HostId] = field(default_factory=set)
-    unseen: Unseen = field(default_factory=Unseen)  # what earlier leaders may have left
+    runs_by_task: dict[TaskId, list[Run]] = field(default_factory=dict)
+    task_zones_by_job: dict[JobId, dict[TaskId, Zone]] = field(default_factory=dict)
+    usage_by_team: dict[Team, Resources] = field(default_factory=dict)
+    reported_done: dict[JobId, set[int]] = field(
+        default_factory=dict
+    )  # reported, maybe not durable
+    deleted_hosts: set[HostId] = field(default_factory=set)
+    unreconciled: UnreconciledHosts = field(
+        default_factory=UnreconciledHosts
+    )  # what earlier leaders may have left
     # The order by which a machine is out of service, as the view has it at this moment.
-    closed: Callable[[Host], OrderId | None] = lambda host: None
-    relayed: dict[Zone, MonotonicTime] = field(default_factory=dict)  # fed till then at most
+    out_of_service_order: Callable[[Host], OrderId | None] = lambda host: None
+    relayed_until: dict[Zone, MonotonicTime] = field(
+        default_factory=dict
+    )  # fed till then at most
     _relay_changes: dict[Zone, int] = field(default_factory=dict)
     _zones: dict[JobId, dict[Zone, int]] = field(default_factory=dict)
     released: list[TaskId] = field(default_factory=list)  # no more among them, to be placed
-    lost_mute: int = 0  # attempts lost with leases of machines that only direct calls reached
+    lost_without_reports: int = (
+        0  # attempts lost with leases of machines that only direct calls reached
+    )
     _attempts: int = 0
     _gang_attempts: dict[JobId, Attempt] = field(default_factory=dict)
 
     def __post_init__(self) -> None:
-        self.note_relays(self.took_over_at)
+        self.update_relays(self.took_over_at)
         for record in self.view.hosts.values():
             host = self.add_host(
                 record.id,
@@ -94,9 +104,9 @@
                 self.took_over_at,
             )
             host.recorded = True
-            self.unseen.add(record.id, host.room)
-        for placed in self.view.starts.values():
-            self.unseen.place(placed, self.view.jobs)
+            self.unreconciled.add(record.id, host.capacity)
+        for placed in self.view.start_log.values():
+            self.unreconciled.add_logged_tasks(placed, self.view.jobs)
 
     # -- machines ------------------------------------------------------------------
 
@@ -110,44 +120,44 @@
         now: MonotonicTime,
     ) -> Host:
         kind = self.types.get(type_name)
-        room = kind.room if kind is not None else NO_ROOM
+        room = kind.capacity if kind is not None else NO_RESOURCES
         entry = Host(host, type_name, zone, spot, address, now, room)
         self.hosts[host] = entry
         return entry
 
-    def unknown_hosts(self) -> list[Host]:
+    def unreconciled_hosts(self) -> list[Host]:
         """Registered machines on which an earlier leader's tasks may still be."""
-        return [self.hosts[host] for host in self.unseen.hosts]
+        return [self.hosts[host] for host in self.unreconciled.hosts]
 
-    def all_known(self) -> bool:
-        return not self.unseen.hosts
+    def all_reconciled(self) -> bool:
+        return not self.unreconciled.hosts
 
-    def _settled(self, host: Host) -> None:
+    def _mark_reconciled(self, host: Host) -> None:
         """Nothing of an earlier leader can be on it unseen any more."""
-        self.released += self.unseen.settle(host.id)
+        self.released += self.unreconciled.mark_reconciled(host.id)
 
-    def delete_completed(self, host_id: HostId) -> list[Run]:
+    def on_host_deleted(self, host_id: HostId) -> list[Run]:
         """The cloud has answered: the machine and everything on it are gone."""
-        self.gone.add(host_id)
+        self.deleted_hosts.add(host_id)
         host = self.hosts.get(host_id)
         if host is None:
             return []
-        self._settled(host)
+        self._mark_reconciled(host)
         del self.hosts[host_id]
         return self._clear(host)
 
-    def note_relays(self, now: MonotonicTime) -> None:
+    def update_relays(self, now: MonotonicTime) -> None:
         """Nodes of a cut-off zone may feed its workers, for as long as a proof lasts after
         their key has gone; a key that came and went counts as well."""
         changes = dict(self.view.relay_changes)
         for record in self.view.relays.values():
-            self.relayed[record.zone] = MonotonicTime(now + RELAY_S)
+            self.relayed_until[record.zone] = MonotonicTime(now + RELAY_EXPIRY_S)
         for zone, count in changes.items():
             if self._relay_changes.get(zone, 0) != count:
-                self.relayed[zone] = MonotonicTime(now + RELAY_S)
+                self.relayed_until[zone] = MonotonicTime(now + RELAY_EXPIRY_S)
         self._relay_changes = changes
 
-    def expire(self, now: MonotonicTime) -> list[Run]:
+    def expire_leases(self, now: MonotonicTime) -> list[Run]:
         """Clear machines whose worker lease nobody can have renewed.
 
         ``now`` must be a moment of which the view is proved: a node that fed workers of a
@@ -155,39 +165,39 @@
         """
         lost: list[Run] = []
         for host in self.hosts.values():
-            if host.fenced or not self._lease_over(host, now):
+            if host.fenced or not self._lease_expired(host, now):
                 continue
             if host.runs:
                 log.info("host %s: lease over, %d attempts are gone", host.id, len(host.runs))
                 if host.heard_at > host.reported_at:  # direct calls reached it meanwhile
-                    self.lost_mute += sum(run.occupies for run in host.runs.values())
+                    self.lost_without_reports += sum(run.occupies for run in host.runs.values())
             host.fenced = True
-            self._settled(host)
-            host.known = False
+            self._mark_reconciled(host)
+            host.session_known = False
             host.up = False
             # Reports of this session may still arrive late; they tell of the past.
-            host.dead_session = max(host.dead_session, host.session)
+            host.expired_session = max(host.expired_session, host.session)
             lost.extend(self._clear(host))
         return lost
 
-    def _lease_over(self, host: Host, now: MonotonicTime) -> bool:
-        lease_s = self.lease_s * DRIFT + LEASE_MARGIN_S
-        relayed = self.relayed.get(host.zone)
+    def _lease_expired(self, host: Host, now: MonotonicTime) -> bool:
+        lease_s = self.lease_s * WORKER_LEASE_DRIFT_FACTOR + LEASE_MARGIN_S
+        relayed = self.relayed_until.get(host.zone)
         if relayed is not None and now <= relayed + lease_s:
             # Fed for this leader, too, beyond a cut: also a machine that it has never heard.
             return False
-        if host.fed_at is not None:
+        if host.lease_renewed_at is not None:
             # The lease counts from when the report was sent, which is before it came.
-            if now <= host.fed_at + lease_s:
+            if now <= host.lease_renewed_at + lease_s:
                 return False
-            if host.confirmed:
+            if host.token_confirmed:
                 return True
         if host.created_at != self.took_over_at:
-            return host.fed_at is not None
+            return host.lease_renewed_at is not None
         # Its worker may not have seen our token: the leader before may have fed it until
         # it stopped for want of proof, and the lease counts from that report.
-        fed = max(self.feed_limit_s, RELAY_S)
-        bound = (fed + self.lease_s) * DRIFT + 2 * LEASE_MARGIN_S
+        fed = max(self.max_proof_age_s, RELAY_EXPIRY_S)
+        bound = (fed + self.lease_s) * WORKER_LEASE_DRIFT_FACTOR + 2 * LEASE_MARGIN_S
         return now > self.took_over_at + bound
 
     def _clear(self, host: Host) -> list[Run]:
@@ -198,7 +208,7 @@
 
     # -- reports -------------------------------------------------------------------
 
-    def ingest(self, report: Report, now: MonotonicTime, direct: bool = False) -> Outcome:
+    def ingest(self, report: Report, now: MonotonicTime, direct: bool = False) -> ReportOutcome:
         """Take in a report; only one that carries our token speaks of the present.
 
         A report with an older token may have been sent before commands of an earlier leader
@@ -208,12 +218,12 @@
         host = self.hosts.get(report.host)
         if host is None or report.token != self.token:
             return IGNORED
-        if report.session <= host.dead_session:
+        if report.session <= host.expired_session:
             return IGNORED
         if (report.session, report.sequence) <= (host.session, host.sequence):
             return IGNORED
         lost: list[Run] = []
-        changed = not host.known
+        changed = not host.session_known
         if report.session > host.session:
             # The worker's lease ended in between: it killed and forgot all it had.
             lost = self._clear(host)
@@ -221,23 +231,23 @@
             # A session that is new to us began before this message came, and its lease
             # counts from then. A direct answer can be the first that we hear of it: what
             # was fed before belongs to the session before.
-            host.fed_at = now
-            host.reports, host.reported_at = False, now
+            host.lease_renewed_at = now
+            host.is_reporting, host.reported_at = False, now
         host.session, host.sequence = report.session, report.sequence
         if not direct:
-            host.reports, host.reported_at = True, now
+            host.is_reporting, host.reported_at = True, now
         # Seen late, an end says little of how long the task ran.
-        timely = now - host.heard_at <= self.lease_s * TIMELY_SHARE
+        timely = now - host.heard_at <= self.lease_s * TIMELY_LEASE_FRACTION
         host.heard_at = now
-        host.known = host.up = host.confirmed = True
-        self._settled(host)
+        host.session_known = host.up = host.token_confirmed = True
+        self._mark_reconciled(host)
         host.fenced = False
         host.address = report.address
-        if report.notice_s is not None and host.notice_at is None:
-            host.notice_at = MonotonicTime(now + report.notice_s)
+        if report.notice_s is not None and host.reclaim_at is None:
+            host.reclaim_at = MonotonicTime(now + report.notice_s)
             host.draining = host.draining or "spot notice"
             changed = True
-        exits: list[Exit] = []
+        exits: list[AttemptExit] = []
         adopted: list[Run] = []
         begun: list[Run] = []
         listed = set()
@@ -258,8 +268,8 @@
                 # The worker reported again without it: it dropped that response for good.
                 # The body of a direct answer proves no such thing, for it may have been
                 # written while the response to the last report was still on its way.
-                run.in_reply = False
-            if run.seen or (run.unsent and run.stop_grace is not None):
+                run.in_report_response = False
+            if run.reported or (run.unsent and run.stop_grace_s is not None):
                 self._remove(host, run)
                 if run.occupies:
                     lost.append(run)
@@ -268,14 +278,16 @@
             host.idle_since = None
         elif host.idle_since is None:
             host.idle_since = now
-        return Outcome(True, tuple(exits), tuple(lost), tuple(adopted), tuple(begun), changed)
+        return ReportOutcome(
+            True, tuple(exits), tuple(lost), tuple(adopted), tuple(begun), changed
+        )
 
     def _ingest_task(
         self, host: Host, task: TaskReport, now: MonotonicTime, timely: bool
-    ) -> Exit | None:
+    ) -> AttemptExit | None:
         run = host.runs[task.id]
-        run.seen = True
-        run.in_reply = False
+        run.reported = True
+        run.in_report_response = False
         if run.image not in host.images:
             host.version += 1
         host.images[run.image] = (now, run.image_gb)
@@ -287,26 +299,26 @@
             host.version += 1
         if task.phase is TaskPhase.RUNNING and run.running_at is None:
             run.running_at = now
-            run.late = not timely
+            run.first_seen_late = not timely
         if task.phase is not TaskPhase.EXITED:
             return None
-        if run.running_at is not None and timely and not run.late:
+        if run.running_at is not None and timely and not run.first_seen_late:
             run.duration_s = Duration(now - run.running_at)
-        run.why = task.why
+        run.exit_reason = task.exit_reason
         self._release(host, run)
-        why = task.why or Why.OTHER
-        if why is Why.DONE and not run.service:
-            self.done.setdefault(run.id.task.job, set()).add(run.id.task.number)
-        return Exit(run, why, task.saved)
+        why = task.exit_reason or ExitReason.OTHER
+        if why is ExitReason.DONE and not run.service:
+            self.reported_done.setdefault(run.id.task.job, set()).add(run.id.task.number)
+        return AttemptExit(run, why, task.saved)
 
     def _adopt(self, host: Host, task: TaskReport, now: MonotonicTime) -> Run:
         """An attempt that another leader started."""
         record = self.view.jobs.get(task.id.task.job)
         spec = record.spec if record is not None else None
         team = spec.team if spec is not None else Team("")
-        need = spec.need if spec is not None else NO_ROOM
+        need = spec.need if spec is not None else NO_RESOURCES
         image = spec.image if spec is not None else Image("")
-        service = spec is not None and spec.kind is Kind.SERVICE
+        service = spec is not None and spec.kind is JobKind.SERVICE
         image_gb = spec.image_gb if spec is not None else 0.0
         run = Run(task.id, host.id, team, need, image, image_gb, now, service=service)
         run.adopted = True
@@ -322,21 +334,21 @@
         spec = record.spec
         if spec is None or record.phase is not JobPhase.ACTIVE:
             return "job is over"
-        if self.view.waits(record.id):
+        if self.view.waits_for_dependencies(record.id):
             return "job waits for others"
         if not 0 <= task.number < spec.tasks or self.is_done(record, task.number):
             return "task is done"
-        if task in self.present:
+        if task in self.runs_by_task:
             return "task may be on a machine"
-        if self.may_run_unseen(task) or not self.may_start_job(spec):
+        if self.may_run_on_unreconciled_host(task) or not self.may_start_job(spec):
             return "an earlier leader may have started it"
-        if not host.known or host.draining is not None or host.deleting:
+        if not host.session_known or host.draining is not None or host.deleting:
             return "machine is not usable"
-        if not host.reports:
+        if not host.is_reporting:
             # Guards against a machine that direct calls reach and that reaches no controller:
             # whatever is started there dies with its lease, again and again.
             return "machine does not report"
-        if self.closed(host) is not None:
+        if self.out_of_service_order(host) is not None:
             return "machine is out of service"
         if not host.recorded:
             return "machine is not on record"
@@ -353,56 +365,56 @@
             return "too many in the zone"
         return None
 
-    def may_run_unseen(self, task: TaskId) -> bool:
+    def may_run_on_unreconciled_host(self, task: TaskId) -> bool:
         """May a machine that has not answered this leader be running it?"""
-        return self.unseen.may_run(task)
+        return self.unreconciled.may_run(task)
 
     def may_start_job(self, spec: JobSpec) -> bool:
         """Where a task may be depends on where the job's others are: all must be seen."""
-        bound = spec.one_zone or spec.spread or spec.kind is Kind.GANG
-        return not (bound and self.unseen.of_job(spec.id))
+        bound = spec.one_zone or spec.spread or spec.kind is JobKind.GANG
+        return not (bound and self.unreconciled.task_count(spec.id))
 
     def take_released(self) -> list[TaskId]:
         released, self.released = self.released, []
         return released
 
-    def still_there(self, host_id: HostId, task: TaskId) -> bool:
+    def must_stay_logged(self, host_id: HostId, task: TaskId) -> bool:
         """Must the log go on saying that this task may be on this machine?"""
         host = self.hosts.get(host_id)
         if host is None or host.fenced:
             return False
-        if host_id in self.unseen.hosts:
+        if host_id in self.unreconciled.hosts:
             return True
         record = self.view.active.get(task.job)
         if (
             record is not None
-            and task.number in self.done.get(task.job, ())
-            and not record.done(task.number)
+            and task.number in self.reported_done.get(task.job, ())
+            and not record.is_task_done(task.number)
         ):
             # Its end is only in that machine's report: a next leader that knew of none would
             # run the task once more.
             return True
-        return any(run.host == host_id for run in self.present.get(task, ()))
+        return any(run.host == host_id for run in self.runs_by_task.get(task, ()))
 
-    def team_use(self, team: Team) -> Room:
-        return self.use.get(team, NO_ROOM)
+    def team_usage(self, team: Team) -> Resources:
+        return self.usage_by_team.get(team, NO_RESOURCES)
 
-    def most_use(self, team: Team) -> Room:
+    def max_team_usage(self, team: Team) -> Resources:
         """What it may use at most, on machines that have not answered yet included.
 
         Guards against tasks of an earlier leader that run unseen while others start: what
         machines may hold counts against the teams whose it is, and holds up no other.
         """
-        return self.team_use(team).plus(self.unseen.room(team))
+        return self.team_usage(team).plus(self.unreconciled.max_usage(team))
 
-    def team_allows(self, spec: JobSpec, more: Room = NO_ROOM) -> bool:
+    def team_allows(self, spec: JobSpec, more: Resources = NO_RESOURCES) -> bool:
         team = self.teams.get(spec.team)
         if team is None:
             return False
-        return team.allows(self.most_use(spec.team).plus(spec.need).plus(more))
+        return team.allows(self.max_team_usage(spec.team).plus(spec.need).plus(more))
 
     def is_done(self, record: JobRecord, index: int) -> bool:
-        return record.done(index) or index in self.done.get(record.id, ())
+        return record.is_task_done(index) or index in self.reported_done.get(record.id, ())
 
     def job_zones(self, job: JobId) -> dict[Zone, int]:
         return self._zones.get(job, {})
@@ -424,8 +436,8 @@
             spec.image,
             spec.image_gb,
             now,
-            service=spec.kind is Kind.SERVICE,
-            cached=spec.image in host.images,
+            service=spec.kind is JobKind.SERVICE,
+            image_cached=spec.image in host.images,
             tier=tier,
         )
         self._occupy(host, run)
@@ -437,13 +449,13 @@
 
         The tasks of a gang that start together share theirs: by it they find one another.
         """
-        if spec.kind is Kind.GANG and spec.id in self.by_job:
+        if spec.kind is JobKind.GANG and spec.id in self.task_zones_by_job:
             shared = self._gang_attempts.get(spec.id)
             if shared is not None:
                 return shared
         self._attempts += 1
         attempt = Attempt(self.token << ATTEMPT_BITS | self._attempts)
-        if spec.kind is Kind.GANG:
+        if spec.kind is JobKind.GANG:
             self._gang_attempts[spec.id] = attempt
         return attempt
 
@@ -459,9 +471,9 @@
         if (
             run.occupies
             and not self.withdraw(run)
-            and (run.stop_grace is None or grace_s < run.stop_grace)
+            and (run.stop_grace_s is None or grace_s < run.stop_grace_s)
         ):
-            run.stop_grace = grace_s
+            run.stop_grace_s = grace_s
             host = self.hosts.get(run.host)
             if host is not None:
                 host.version += 1
@@ -481,37 +493,37 @@
                 self.stop(run, Duration(0.0))
                 if run.id not in host.runs:
                     continue  # it was never sent
-            if run.unsent and not (starts and run.logged):
+            if run.unsent and not (starts and run.start_logged):
                 continue
-            if not run.seen:
+            if not run.reported:
                 # A start that may still come late is made known before it is stopped, so
                 # that the stop ends that attempt for good.
                 out.append(Start(run.id))
                 if direct:
-                    run.unanswered += 1
+                    run.unanswered_starts += 1
                 else:
-                    run.in_reply = True
-            if run.stop_grace is not None:
-                out.append(Stop(run.id, run.stop_grace))
+                    run.in_report_response = True
+            if run.stop_grace_s is not None:
+                out.append(Stop(run.id, run.stop_grace_s))
         return out
 
-    def has_direct(self, host: Host) -> bool:
+    def has_urgent_commands(self, host: Host) -> bool:
         """Is there anything that shouldn't wait for the worker's next report?"""
         return any(
             run.occupies
             and (
-                (run.unsent and run.logged)
-                or (run.stop_grace is not None and run.phase is not TaskPhase.SAVING)
+                (run.unsent and run.start_logged)
+                or (run.stop_grace_s is not None and run.phase is not TaskPhase.SAVING)
             )
             for run in host.runs.values()
         )
 
-    def answered(self, host: Host, starts: Iterable[AttemptId]) -> None:
+    def on_direct_response(self, host: Host, starts: Iterable[AttemptId]) -> None:
         """A direct call was answered: its starts can't come any later."""
         for attempt in starts:
             run = host.runs.get(attempt)
-            if run is not None and run.unanswered:
-                run.unanswered -= 1
+            if run is not None and run.unanswered_starts:
+                run.unanswered_starts -= 1
 
     def _unwanted(self, run: Run) -> bool:
         record = self.view.jobs.get(run.id.task.job)
@@ -520,20 +532,20 @@
         index = run.id.task.number
         if index >= record.spec.tasks or self.is_done(record, index):
             return True
-        others = self.present.get(run.id.task, [])
+        others = self.runs_by_task.get(run.id.task, [])
         return len(others) > 1 and run.id.attempt != min(r.id.attempt for r in others)
 
     def _may_forget(self, run: Run) -> bool:
         # After it, a start that arrives late would run the attempt again.
-        if run.unanswered:
+        if run.unanswered_starts:
             return False
-        if run.why is not Why.DONE or run.service:
+        if run.exit_reason is not ExitReason.DONE or run.service:
             return True
         # The report is the only trace of the result until its mark is durable.
         record = self.view.jobs.get(run.id.task.job)
         if record is None or record.phase is not JobPhase.ACTIVE:
             return True
-        return record.done(run.id.task.number) or (
+        return record.is_task_done(run.id.task.number) or (
             record.spec is not None and run.id.task.number >= record.spec.tasks
         )
 
@@ -543,36 +555,36 @@
         host.version += 1
         host.runs[run.id] = run
         host.used = host.used.plus(run.need)
-        self.use[run.team] = self.team_use(run.team).plus(run.need)
+        self.usage_by_team[run.team] = self.team_usage(run.team).plus(run.need)
         task = run.id.task
-        self.present.setdefault(task, []).append(run)
+        self.runs_by_task.setdefault(task, []).append(run)
         self._set_zone(task, host.zone)
 
     def _release(self, host: Host, run: Run) -> None:
         """The attempt takes no room any more, though the worker may still report it."""
         host.version += 1
         host.used = host.used.minus(run.need)
-        self.use[run.team] = self.team_use(run.team).minus(run.need)
+        self.usage_by_team[run.team] = self.team_usage(run.team).minus(run.need)
         task = run.id.task
-        others = [other for other in self.present.get(task, ()) if other is not run]
+        others = [other for other in self.runs_by_task.get(task, ()) if other is not run]
         if others:
-            self.present[task] = others
+            self.runs_by_task[task] = others
             left = self.hosts.get(others[0].host)
             if left is not None and left.zone != host.zone:
                 self._set_zone(task, left.zone)
             return
-        self.present.pop(task, None)
-        tasks = self.by_job.get(task.job)
+        self.runs_by_task.pop(task, None)
+        tasks = self.task_zones_by_job.get(task.job)
         if tasks is None or task not in tasks:
             return
         self._set_zone(task, None)
         if not tasks:
-            del self.by_job[task.job]
+            del self.task_zones_by_job[task.job]
             del self._zones[task.job]
 
     def _set_zone(self, task: TaskId, zone: Zone | None) -> None:
         """Count the task in its zone, and in no other."""
-        tasks = self.by_job.setdefault(task.job, {})
+        tasks = self.task_zones_by_job.setdefault(task.job, {})
         zones = self._zones.setdefault(task.job, {})
         before = tasks.pop(task, None)
         if before is not None:
--- a/dunehold/bookkeeping/records.py
+++ b/dunehold/bookkeeping/records.py
@@ -11,7 +11,6 @@
 from dunehold.protocol.codec import BadMessage
 from dunehold.protocol.users import JobSpec, decode_job_object, encode_job
 from dunehold.types import (
-    Condition,
     HostId,
     JobId,
     JobPhase,
@@ -23,40 +22,41 @@
     TypeName,
     WallTime,
     Zone,
+    ZoneCondition,
 )
 
 PREFIX = "dunehold/"
 LEADER_KEY = PREFIX + "leader"
 TOKEN_KEY = PREFIX + "token"
 JOBS = PREFIX + "jobs/"
-MARKS = PREFIX + "marks/"
+COMPLETION_BITMAPS = PREFIX + "marks/"
 HOSTS = PREFIX + "hosts/"
 RENTALS = PREFIX + "rentals/"
 RELAYS = PREFIX + "relays/"
 STARTS = PREFIX + "starts/"
-PACKS = PREFIX + "packs/"  # many submissions to a key
-ENDS = PREFIX + "ends/"  # many ends to a key
-PACKING = PREFIX + "packing"  # whether packs of submissions may be written
-BROKEN = PREFIX + "broken"  # jobs that fail on every machine, for the next leader
+JOB_BATCHES = PREFIX + "packs/"  # many submissions to a key
+COMPLETION_BATCHES = PREFIX + "ends/"  # many ends to a key
+BATCHING_ENABLED = PREFIX + "packing"  # whether packs of submissions may be written
+BROKEN_JOBS = PREFIX + "broken"  # jobs that fail on every machine, for the next leader
 ZONES = PREFIX + "zones"  # those that are not well, for the next leader
 SUCCESSOR = PREFIX + "successor"  # the zone that should lead next, and after which token
 ORDERS = PREFIX + "orders/"  # of operators, one key each
 ORDERS_SERIAL = PREFIX + "orders-serial"  # raised with every change of an order
-UPKEEP = PREFIX + "upkeep/"  # how far the leader is with each order
+ORDER_PROGRESS = PREFIX + "upkeep/"  # how far the leader is with each order
 DISRUPTIONS = PREFIX + "disruptions"  # stopped by choice lately, for the next leader
 START_SLOTS = 256  # the log of starts is a ring of so many keys
 
 
-def value_room(value_bytes: int) -> int:
+def usable_value_bytes(value_bytes: int) -> int:
     """Bytes of a value that are filled: how the state service counts may differ."""
     return value_bytes * 3 // 4
 
 
-Placed = dict[HostId, set[TaskId]]  # machine -> tasks that may have been started there
+TasksByHost = dict[HostId, set[TaskId]]  # machine -> tasks that may have been started there
 
 # One page of done marks is a bitmap of so many tasks: 700 bytes in base64, which fits
 # the smallest value size that the settings allow (1 KiB).
-PAGE_TASKS = 4096
+TASKS_PER_BITMAP_PAGE = 4096
 HOST_BYTES = 24  # of a name in a page of machines; longer names make fewer to a page
 
 
@@ -64,8 +64,8 @@
     return JOBS + job
 
 
-def mark_key(job: JobId, page: int) -> str:
-    return f"{MARKS}{job}/{page}"
+def completion_bitmap_key(job: JobId, page: int) -> str:
+    return f"{COMPLETION_BITMAPS}{job}/{page}"
 
 
 @dataclass(slots=True)
@@ -83,32 +83,36 @@
     accepted_at: WallTime
     spec: JobSpec | None
     tasks: int
-    marks: dict[int, int] = field(default_factory=dict)  # page -> bitmap of done tasks
-    order: Revision = Revision(0)
-    pack: str | None = None
+    completion_bitmaps: dict[int, int] = field(
+        default_factory=dict
+    )  # page -> bitmap of done tasks
+    phase_revision: Revision = Revision(0)
+    batch_key: str | None = None
     ended_at: WallTime | None = None  # of a job that is done, where that is written
-    free_at: WallTime | None = None  # when the last job that it needs was done
+    dependencies_done_at: WallTime | None = None  # when the last job that it needs was done
 
     @property
-    def wanted_at(self) -> WallTime:
+    def eligible_at(self) -> WallTime:
         """From when its waiting counts: for the jobs that it needs, it does not wait."""
-        return self.accepted_at if self.free_at is None else self.free_at
+        return (
+            self.accepted_at if self.dependencies_done_at is None else self.dependencies_done_at
+        )
 
-    def stands(self, other: JobRecord) -> bool:
+    def takes_precedence_over(self, other: JobRecord) -> bool:
         """Against another record of the same job: an end before no end, the first of two.
 
         Every node must find the same one, in whatever order it came to know of them.
         """
         if self.phase.final != other.phase.final:
             return self.phase.final
-        return self.order <= other.order
+        return self.phase_revision <= other.phase_revision
 
-    def done(self, index: int) -> bool:
-        page, bit = divmod(index, PAGE_TASKS)
-        return bool(self.marks.get(page, 0) >> bit & 1)
+    def is_task_done(self, index: int) -> bool:
+        page, bit = divmod(index, TASKS_PER_BITMAP_PAGE)
+        return bool(self.completion_bitmaps.get(page, 0) >> bit & 1)
 
     def done_count(self) -> int:
-        return sum(bits.bit_count() for bits in self.marks.values())
+        return sum(bits.bit_count() for bits in self.completion_bitmaps.values())
 
 
 @dataclass(frozen=True, slots=True)
@@ -141,9 +145,9 @@
 class ZoneRecord:
     """What a leader knew of a zone that is, or lately was, not well."""
 
-    condition: Condition
+    condition: ZoneCondition
     flaps: int
-    size: int  # machines up when it was last well
+    healthy_host_count: int  # machines up when it was last well
 
 
 def encode_job_record(spec: JobSpec, phase: JobPhase, accepted_at: WallTime) -> dict[str, Any]:
@@ -156,7 +160,7 @@
     job that was accepted must never be too large to be cancelled."""
     spec = record.spec
     assert spec is not None
-    spec = replace(spec, awaits=())
+    spec = replace(spec, dependencies=())
     value = encode_job_record(spec, JobPhase.CANCELLED, record.accepted_at)
     if len(codec.dump(value)) > most_bytes:
         spec = replace(spec, types=None)
@@ -187,7 +191,7 @@
         WallTime(codec.amount(value, "at")),
         spec,
         spec.tasks if spec is not None else codec.count(value, "tasks"),
-        order=version,
+        phase_revision=version,
         ended_at=None if end is None else WallTime(end),
     )
 
@@ -239,7 +243,7 @@
     return found
 
 
-def encode_starts(placed: Placed) -> dict[str, Any]:
+def encode_starts(placed: TasksByHost) -> dict[str, Any]:
     value: dict[str, dict[str, list[int]]] = {}
     for host, tasks in placed.items():
         jobs = value.setdefault(host, {})
@@ -248,7 +252,7 @@
     return value
 
 
-def decode_starts(value: Any) -> Placed:
+def decode_starts(value: Any) -> TasksByHost:
     if not isinstance(value, dict):
         raise BadMessage("starts record")
     return {
@@ -266,7 +270,7 @@
     return 24 + sum(len(job) + 8 for job in {t.job for t in tasks}) + 7 * len(tasks)
 
 
-def encode_broken(jobs: set[JobId], most_bytes: int) -> list[JobId]:
+def encode_broken_jobs(jobs: set[JobId], most_bytes: int) -> list[JobId]:
     """As many as a value holds; a job left out is found again by its failures."""
     found: list[JobId] = []
     for job in sorted(jobs, reverse=True):
@@ -277,7 +281,7 @@
     return found
 
 
-def decode_broken(value: Any) -> set[JobId]:
+def decode_broken_jobs(value: Any) -> set[JobId]:
     if not isinstance(value, list):
         raise BadMessage("broken jobs record")
     return {JobId(str(job)) for job in value}
@@ -304,7 +308,9 @@
 
 
 def encode_zones(zones: dict[Zone, ZoneRecord]) -> dict[str, list[Any]]:
-    return {zone: [r.condition, r.flaps, r.size] for zone, r in sorted(zones.items())}
+    return {
+        zone: [r.condition, r.flaps, r.healthy_host_count] for zone, r in sorted(zones.items())
+    }
 
 
 def decode_zones(value: Any) -> dict[Zone, ZoneRecord]:
@@ -314,12 +320,12 @@
     for zone, row in value.items():
         if not isinstance(row, list) or len(row) < 3:
             raise BadMessage("zones record")
-        found[Zone(zone)] = ZoneRecord(Condition(row[0]), int(row[1]), int(row[2]))
+        found[Zone(zone)] = ZoneRecord(ZoneCondition(row[0]), int(row[1]), int(row[2]))
     return found
 
 
 def encode_rental(rental: Rental) -> list[Any]:
-    return [rental.type, rental.zone, rental.spot, rental.number]
+    return [rental.type, rental.zone, rental.spot, rental.count]
 
 
 def decode_rental(rental: RentalId, value: Any) -> Rental:
--- a/dunehold/bookkeeping/unseen.py
+++ b/dunehold/bookkeeping/unreconciled.py
@@ -15,31 +15,31 @@
 from collections.abc import Mapping
 from dataclasses import dataclass, field
 
-from dunehold.bookkeeping.records import JobRecord, Placed
-from dunehold.types import NO_ROOM, HostId, JobId, JobPhase, Room, TaskId, Team
+from dunehold.bookkeeping.records import JobRecord, TasksByHost
+from dunehold.types import NO_RESOURCES, HostId, JobId, JobPhase, Resources, TaskId, Team
 
 
 @dataclass(slots=True)
-class Unseen:
+class UnreconciledHosts:
     """Machines on record that have not answered, and what may be on each.
 
     A machine leaves once, when it answers, is fenced or deleted, so that no start has to look
     through the fleet.
     """
 
-    hosts: dict[HostId, Room] = field(default_factory=dict)
+    hosts: dict[HostId, Resources] = field(default_factory=dict)
     _places: dict[TaskId, set[HostId]] = field(default_factory=dict)
     _tasks: dict[HostId, set[TaskId]] = field(default_factory=dict)
     _by_job: dict[JobId, int] = field(default_factory=dict)  # such tasks of each job
-    _needs: dict[TaskId, tuple[Team, Room]] = field(default_factory=dict)
-    _by_team: dict[Team, Counter[Room]] = field(default_factory=dict)
+    _needs: dict[TaskId, tuple[Team, Resources]] = field(default_factory=dict)
+    _by_team: dict[Team, Counter[Resources]] = field(default_factory=dict)
     _blind: set[HostId] = field(default_factory=set)  # with tasks that nothing describes
-    _sums: dict[Team, Room] = field(default_factory=dict)  # as counted last
+    _sums: dict[Team, Resources] = field(default_factory=dict)  # as counted last
 
-    def add(self, host: HostId, room: Room) -> None:
+    def add(self, host: HostId, room: Resources) -> None:
         self.hosts[host] = room
 
-    def place(self, placed: Placed, jobs: Mapping[JobId, JobRecord]) -> None:
+    def add_logged_tasks(self, placed: TasksByHost, jobs: Mapping[JobId, JobRecord]) -> None:
         """Take up a part of the log; what it says of other machines is over."""
         for host, tasks in placed.items():
             if host not in self.hosts:
@@ -63,7 +63,7 @@
             self._by_team.setdefault(spec.team, Counter())[spec.need] += 1
             self._sums.pop(spec.team, None)
 
-    def settle(self, host: HostId) -> list[TaskId]:
+    def mark_reconciled(self, host: HostId) -> list[TaskId]:
         """Nothing is on it unseen any more; the tasks that may be nowhere unseen now."""
         if self.hosts.pop(host, None) is None:
             return []
@@ -93,15 +93,15 @@
     def may_run(self, task: TaskId) -> bool:
         return task in self._places
 
-    def of_job(self, job: JobId) -> int:
+    def task_count(self, job: JobId) -> int:
         """How many of its tasks may be on machines that have not answered."""
         return self._by_job.get(job, 0)
 
-    def room(self, team: Team) -> Room:
+    def max_usage(self, team: Team) -> Resources:
         """The most that the team's tasks may use there."""
         found = self._sums.get(team)
         if found is None:
-            found = NO_ROOM
+            found = NO_RESOURCES
             for host in self._blind:
                 found = found.plus(self.hosts[host])
             for need, number in self._by_team.get(team, {}).items():
--- a/dunehold/bookkeeping/view.py
+++ b/dunehold/bookkeeping/view.py
@@ -7,10 +7,10 @@
 from typing import Any
 
 from dunehold.bookkeeping import records
-from dunehold.bookkeeping.needs import Needs
-from dunehold.bookkeeping.orders import Progress, decode_order, decode_progress
-from dunehold.bookkeeping.packs.rows import decode_accepted, decode_ended
-from dunehold.bookkeeping.packs.shelf import Shelf
+from dunehold.bookkeeping.batches.encoding import decode_completion_batch, decode_job_batch
+from dunehold.bookkeeping.batches.index import JobBatchIndex
+from dunehold.bookkeeping.dependencies import DependencyIndex
+from dunehold.bookkeeping.orders import OrderProgress, decode_order, decode_progress
 from dunehold.bookkeeping.records import HostRecord, JobRecord, LeaderRecord
 from dunehold.protocol.cloud import Rental
 from dunehold.protocol.operators import Order
@@ -30,17 +30,17 @@
 log = logging.getLogger(__name__)
 
 
-VERSIONED = (
+VERSIONED_PREFIXES = (
     records.HOSTS,
     records.RENTALS,
     records.STARTS,
-    records.MARKS,
+    records.COMPLETION_BITMAPS,
     records.RELAYS,
-    records.BROKEN,
-    records.PACKING,
+    records.BROKEN_JOBS,
+    records.BATCHING_ENABLED,
     records.ZONES,
     records.SUCCESSOR,
-    records.UPKEEP,
+    records.ORDER_PROGRESS,
     records.DISRUPTIONS,
 )
 
@@ -57,25 +57,29 @@
     hosts: dict[HostId, HostRecord] = field(default_factory=dict)
     host_pages: dict[int, dict[HostId, HostRecord]] = field(default_factory=dict)
     rentals: dict[RentalId, Rental] = field(default_factory=dict)
-    starts: dict[int, records.Placed] = field(default_factory=dict)  # the log, by slot
+    start_log: dict[int, records.TasksByHost] = field(default_factory=dict)  # the log, by slot
     relays: dict[NodeId, records.RelayRecord] = field(default_factory=dict)
     relay_changes: dict[Zone, int] = field(default_factory=dict)  # counted for each zone
     # Of keys that a leader writes again and again: a write that was given up on and comes
     # late is refused by them, and can't take a newer one back.
     versions: dict[str, Revision] = field(default_factory=dict)
-    broken: set[JobId] = field(default_factory=set)  # found to fail on every machine
+    broken_jobs: set[JobId] = field(default_factory=set)  # found to fail on every machine
     zones: dict[Zone, records.ZoneRecord] = field(default_factory=dict)  # not well
     successor: tuple[Zone, Token] | None = None  # who should lead after that token
     orders: dict[OrderId, Order] = field(default_factory=dict)  # of operators
-    upkeep: dict[OrderId, Progress] = field(default_factory=dict)
+    order_progress: dict[OrderId, OrderProgress] = field(default_factory=dict)
     orders_serial: Revision = Revision(0)  # of the key that every change of an order raises
     disruptions: Any = None  # as they are written; read by the leader alone
-    orphan_marks: dict[JobId, dict[int, int]] = field(default_factory=dict)
-    spent_marks: dict[JobId, None] = field(default_factory=dict)  # done, with marks still kept
-    shelf: Shelf = field(default_factory=Shelf)
-    packing: bool = False  # packs may be written, by whichever node
-    needs: Needs = field(default_factory=Needs)
-    linked: bool = True  # what follows from the ends of others is kept up to date
+    orphan_bitmaps: dict[JobId, dict[int, int]] = field(default_factory=dict)
+    obsolete_bitmaps: dict[JobId, None] = field(
+        default_factory=dict
+    )  # done, with marks still kept
+    job_batches: JobBatchIndex = field(default_factory=JobBatchIndex)
+    batching_enabled: bool = False  # packs may be written, by whichever node
+    dependency_index: DependencyIndex = field(default_factory=DependencyIndex)
+    dependencies_resolved: bool = (
+        True  # what follows from the ends of others is kept up to date
+    )
     _also: list[JobId] = field(default_factory=list)  # changed along with others
 
     def load(self, entries: list[Entry], revision: Revision) -> None:
@@ -84,7 +88,7 @@
         Its pages may be of different moments: what changed since ``revision``, that of the
         first, must be applied before anything is told from the view.
         """
-        fresh = View(linked=False)
+        fresh = View(dependencies_resolved=False)
         for entry in entries:
             fresh._apply_one(Change(entry.key, entry.value, entry.version, False))
         for name in self.__slots__:
@@ -92,12 +96,12 @@
         self.applied = revision
         self.loaded = True
 
-    def link(self) -> None:
+    def resolve_dependencies(self) -> None:
         """Draw what follows from the ends of others, once nothing of a listing is missing:
         of two ends of one job, a page of another moment may show the later alone."""
-        if self.linked:
+        if self.dependencies_resolved:
             return
-        self.linked = True
+        self.dependencies_resolved = True
         for record in list(self.active.values()):
             self._enter(record)
         self._taken_along()  # all jobs are told of after a listing
@@ -118,7 +122,7 @@
 
     def _apply_one(self, change: Change) -> list[JobId]:
         key = change.key
-        if key.startswith(VERSIONED):
+        if key.startswith(VERSIONED_PREFIXES):
             if change.deleted:
                 self.versions.pop(key, None)
             else:
@@ -126,17 +130,17 @@
         try:
             if key.startswith(records.JOBS):
                 return self._apply_job(JobId(key[len(records.JOBS) :]), change)
-            if key.startswith(records.PACKS):
-                return self._apply_pack(key[len(records.PACKS) :], change)
-            if key.startswith(records.ENDS):
+            if key.startswith(records.JOB_BATCHES):
+                return self._apply_pack(key[len(records.JOB_BATCHES) :], change)
+            if key.startswith(records.COMPLETION_BATCHES):
                 return self._apply_ends(change)
-            if key.startswith(records.MARKS):
-                return self._apply_mark(key[len(records.MARKS) :], change)
+            if key.startswith(records.COMPLETION_BITMAPS):
+                return self._apply_mark(key[len(records.COMPLETION_BITMAPS) :], change)
             if key.startswith(records.HOSTS):
                 self._apply_hosts(int(key[len(records.HOSTS) :]), change)
             elif key.startswith(records.STARTS):
                 slot = int(key[len(records.STARTS) :])
-                self.starts[slot] = (
+                self.start_log[slot] = (
                     {} if change.deleted else records.decode_starts(change.value)
                 )
             elif key.startswith(records.RELAYS):
@@ -147,8 +151,10 @@
                     self.rentals.pop(rental, None)
                 else:
                     self.rentals[rental] = records.decode_rental(rental, change.value)
-            elif key == records.BROKEN:
-                self.broken = set() if change.deleted else records.decode_broken(change.value)
+            elif key == records.BROKEN_JOBS:
+                self.broken_jobs = (
+                    set() if change.deleted else records.decode_broken_jobs(change.value)
+                )
             elif key == records.ZONES:
                 self.zones = {} if change.deleted else records.decode_zones(change.value)
             elif key == records.SUCCESSOR:
@@ -159,16 +165,16 @@
                 self._apply_order(OrderId(key[len(records.ORDERS) :]), change)
             elif key == records.ORDERS_SERIAL:
                 self.orders_serial = Revision(0) if change.deleted else change.version
-            elif key.startswith(records.UPKEEP):
-                order = OrderId(key[len(records.UPKEEP) :])
+            elif key.startswith(records.ORDER_PROGRESS):
+                order = OrderId(key[len(records.ORDER_PROGRESS) :])
                 if change.deleted:
-                    self.upkeep.pop(order, None)
+                    self.order_progress.pop(order, None)
                 else:
-                    self.upkeep[order] = decode_progress(change.value)
+                    self.order_progress[order] = decode_progress(change.value)
             elif key == records.DISRUPTIONS:
                 self.disruptions = None if change.deleted else change.value
-            elif key == records.PACKING:
-                self.packing = not change.deleted and bool(change.value)
+            elif key == records.BATCHING_ENABLED:
+                self.batching_enabled = not change.deleted and bool(change.value)
             elif key == records.LEADER_KEY:
                 self.leader = (
                     None
@@ -198,70 +204,70 @@
         """Take the record up, unless what is known already stands against it."""
         old = self.jobs.get(record.id)
         if old is None:
-            record.marks = self.orphan_marks.pop(record.id, {})
-        elif old.stands(record):
+            record.completion_bitmaps = self.orphan_bitmaps.pop(record.id, {})
+        elif old.takes_precedence_over(record):
             return
         else:
-            record.marks = old.marks
+            record.completion_bitmaps = old.completion_bitmaps
             record.version = old.version
-            if old.pack is not None and old.pack != record.pack:
-                self.shelf.ended(old.pack, record.id)
+            if old.batch_key is not None and old.batch_key != record.batch_key:
+                self.job_batches.job_ended(old.batch_key, record.id)
         self.jobs[record.id] = record
         if record.phase is JobPhase.ACTIVE:
             self.active[record.id] = record
-            if self.linked:
+            if self.dependencies_resolved:
                 self._enter(record)
         else:
             self.active.pop(record.id, None)
-            if self.linked:
+            if self.dependencies_resolved:
                 self._leave(record)
         self._note_marks(record)
 
     def _taken_along(self) -> list[JobId]:
-        also = self._also + self.needs.loosened
+        also = self._also + self.dependency_index.no_longer_needed
         self._also.clear()
-        self.needs.loosened.clear()
+        self.dependency_index.no_longer_needed.clear()
         return also
 
     # -- jobs that wait for others ---------------------------------------------------------
 
-    def waits(self, job: JobId) -> bool:
+    def waits_for_dependencies(self, job: JobId) -> bool:
         """Not all that it needs is durably done: nothing of it may start."""
-        return job in self.needs.waits
+        return job in self.dependency_index.pending
 
     def _enter(self, record: JobRecord) -> None:
-        if record.spec is None or not record.spec.awaits or record.phase.final:
+        if record.spec is None or not record.spec.dependencies or record.phase.final:
             return
         left = []
-        for need in record.spec.awaits:
+        for need in record.spec.dependencies:
             other = self.jobs.get(need)
             if other is None or other.phase is JobPhase.ACTIVE:
                 left.append(need)
             elif other.phase is JobPhase.CANCELLED:
-                self._cancel([record.id, *self.needs.cancelled(record.id)])
+                self._cancel_dependents([record.id, *self.dependency_index.cancel(record.id)])
                 return
-        self.needs.add(record.id, left)
+        self.dependency_index.add(record.id, left)
         if not left:
             self._free(record)
 
     def _leave(self, record: JobRecord) -> None:
-        self.needs.forget(record.id)
+        self.dependency_index.forget(record.id)
         if record.phase is JobPhase.CANCELLED:
-            self._cancel(self.needs.cancelled(record.id))
+            self._cancel_dependents(self.dependency_index.cancel(record.id))
             return
-        for job in self.needs.done(record.id):
+        for job in self.dependency_index.complete(record.id):
             self._free(self.jobs[job])
             self._also.append(job)
 
     def _free(self, record: JobRecord) -> None:
         assert record.spec is not None
         ends = [record.accepted_at]
-        for need in record.spec.awaits:
+        for need in record.spec.dependencies:
             other = self.jobs[need]
             ends.append(other.accepted_at if other.ended_at is None else other.ended_at)
-        record.free_at = max(ends)
+        record.dependencies_done_at = max(ends)
 
-    def _cancel(self, jobs: list[JobId]) -> None:
+    def _cancel_dependents(self, jobs: list[JobId]) -> None:
         """They follow from a cancellation that is durable, at every node alike, and none of
         them has ever started: the job that was cancelled was not done."""
         for job in jobs:
@@ -271,17 +277,17 @@
             self._also.append(job)
 
     def _note_marks(self, record: JobRecord) -> None:
-        if record.phase is JobPhase.DONE and record.marks:
-            self.spent_marks[record.id] = None
+        if record.phase is JobPhase.DONE and record.completion_bitmaps:
+            self.obsolete_bitmaps[record.id] = None
         else:
-            self.spent_marks.pop(record.id, None)
+            self.obsolete_bitmaps.pop(record.id, None)
 
     def _apply_pack(self, pack: str, change: Change) -> list[JobId]:
         if change.deleted:
-            self.shelf.deleted(pack)  # its jobs stay: all of them are over
+            self.job_batches.remove(pack)  # its jobs stay: all of them are over
             return []
         ours = set()
-        accepted = decode_accepted(change.value)
+        accepted = decode_job_batch(change.value)
         for spec, at in accepted:
             self._settle(
                 JobRecord(
@@ -291,22 +297,29 @@
                     at,
                     spec,
                     spec.tasks,
-                    order=change.version,
-                    pack=pack,
+                    phase_revision=change.version,
+                    batch_key=pack,
                 )
             )
-            if self.jobs[spec.id].pack == pack:
+            if self.jobs[spec.id].batch_key == pack:
                 ours.add(spec.id)
-        self.shelf.put(pack, ours)
+        self.job_batches.add(pack, ours)
         return [spec.id for spec, _ in accepted]
 
     def _apply_ends(self, change: Change) -> list[JobId]:
         if change.deleted:
             return []
-        ended = decode_ended(change.value)
+        ended = decode_completion_batch(change.value)
         for job, tasks, at, end in ended:
             done = JobRecord(
-                job, JobPhase.DONE, ABSENT, at, None, tasks, order=change.version, ended_at=end
+                job,
+                JobPhase.DONE,
+                ABSENT,
+                at,
+                None,
+                tasks,
+                phase_revision=change.version,
+                ended_at=end,
             )
             self._settle(done)
         return [end.id for end in ended]
@@ -315,7 +328,11 @@
         name, _, page = rest.rpartition("/")
         job = JobId(name)
         record = self.jobs.get(job)
-        marks = record.marks if record is not None else self.orphan_marks.setdefault(job, {})
+        marks = (
+            record.completion_bitmaps
+            if record is not None
+            else self.orphan_bitmaps.setdefault(job, {})
+        )
         if change.deleted:
             marks.pop(int(page), None)
         else:
--- a/dunehold/budgets.py
+++ b/dunehold/budgets.py
@@ -30,7 +30,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Budget:
+class DisruptionBudget:
     """What may be disrupted of one team at one time, by choice.
 
     Attributes:
@@ -49,27 +49,27 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Budgets:
+class DisruptionBudgets:
     """Each team's budget; ``bind_all``: the scheduler's own doings keep to them as well."""
 
-    default: Budget = Budget()
-    teams: Mapping[Team, Budget] = field(default_factory=dict)
+    default: DisruptionBudget = DisruptionBudget()
+    teams: Mapping[Team, DisruptionBudget] = field(default_factory=dict)
     bind_all: bool = False
 
-    def of(self, team: Team) -> Budget:
+    def of(self, team: Team) -> DisruptionBudget:
         return self.teams.get(team, self.default)
 
 
-AMOUNTS = ("tasks", "cpus", "replicas", "least_up")
+AMOUNT_FIELDS = ("tasks", "cpus", "replicas", "least_up")
 
 
-def read(form: Any) -> Budgets:
+def read(form: Any) -> DisruptionBudgets:
     """``((default (tasks "10%") ...) (team "blue" (cpus 40) ...) (bind-all 1))``.
 
     A text with a percent sign is a share, a number a number. What a team leaves out is as in
     ``default``. ValueError with one line that names the entry.
     """
-    default, teams, bind_all = Budget(), {}, False
+    default, teams, bind_all = DisruptionBudget(), {}, False
     entries = [entry for entry in form if isinstance(entry, list) and entry]
     if len(entries) != len(form):
         raise ValueError("every entry must be a list")
@@ -90,11 +90,11 @@
             bind_all = bool(entry[1])
         elif name != "default":
             raise ValueError(f"{name}: no such entry")
-    return Budgets(default, teams, bind_all)
+    return DisruptionBudgets(default, teams, bind_all)
 
 
-def _budget(base: Budget, rows: list[Any], where: str) -> Budget:
-    known = {item.name for item in fields(Budget)}
+def _budget(base: DisruptionBudget, rows: list[Any], where: str) -> DisruptionBudget:
+    known = {item.name for item in fields(DisruptionBudget)}
     values: dict[str, Any] = {}
     for row in rows:
         if not isinstance(row, list) or len(row) != 2:
@@ -104,7 +104,7 @@
             raise ValueError(f"{where}: {row[0]}: no such amount")
         values[name] = (
             _amount(row[1], f"{where}: {row[0]}")
-            if name in AMOUNTS
+            if name in AMOUNT_FIELDS
             else Duration(_number(row[1], f"{where}: {row[0]}"))
         )
     return replace(base, **values)
--- a/dunehold/cli.py
+++ b/dunehold/cli.py
@@ -11,7 +11,7 @@
 from pathlib import Path
 from typing import Any
 
-from dunehold import operating
+from dunehold import operator_commands
 from dunehold import settings as settings_module
 from dunehold.settings import Settings, SettingsError
 
@@ -62,7 +62,7 @@
         )
         command.add_argument("--timeout", type=float, default=5.0, help="seconds to wait")
     if emulator:
-        operating.add_parsers(commands)
+        operator_commands.add_parsers(commands)
         _add_emulator(commands)
     return parser
 
@@ -102,8 +102,8 @@
     )
     if options.command in EMULATOR_COMMANDS:
         return _emulator(options)
-    if options.command in operating.COMMANDS:
-        return operating.run(options)
+    if options.command in operator_commands.COMMANDS:
+        return operator_commands.run(options)
     if options.command in ("serve", "check-config"):
         try:
             settings = _load(options)
@@ -158,9 +158,9 @@
 
 def _client(options: argparse.Namespace) -> int:
     from dunehold.protocol import codec, peers, users
-    from dunehold.transport.http import HttpClient, NoResponse, split_address
+    from dunehold.transport.http import HttpClient, NoResponse, parse_address
 
-    address = split_address(options.server)
+    address = parse_address(options.server)
     if address is None:
         print("dunehold: --server: must be HOST:PORT", file=sys.stderr)
         return EXIT_USAGE
@@ -205,28 +205,28 @@
     if options.command == "served" and code == 200 and not options.json:
         from dunehold import report
 
-        print(report.served(codec.load_object(data)))
+        print(report.format_served(codec.load_object(data)))
         return 0
     print(data.decode("utf-8", "replace"))
     if code in (200, 201):
-        return _waits(options) if getattr(options, "peer", None) else 0
+        return _print_unmet_dependencies(options) if getattr(options, "peer", None) else 0
     hint = "try again" if code in (429, 503, 504) else "not accepted"
     print(f"dunehold: status {code}: {hint}", file=sys.stderr)
     return EXIT_FAILED
 
 
-def _waits(options: argparse.Namespace) -> int:
+def _print_unmet_dependencies(options: argparse.Namespace) -> int:
     """Which jobs this one waits for; the users' interface does not say so."""
     from dunehold.protocol import codec, peers
-    from dunehold.transport.http import HttpClient, NoResponse, split_address
+    from dunehold.transport.http import HttpClient, NoResponse, parse_address
 
-    address = split_address(options.peer)
+    address = parse_address(options.peer)
     if address is None:
         print("dunehold: --peer: must be HOST:PORT", file=sys.stderr)
         return EXIT_USAGE
     try:
         client = HttpClient(*address)
-        waits = asyncio.run(peers.get_waits(client, options.job, options.timeout))
+        waits = asyncio.run(peers.get_unmet_dependencies(client, options.job, options.timeout))
     except (NoResponse, codec.BadMessage) as error:
         print(f"dunehold: {options.peer}: no answer ({error}); try again", file=sys.stderr)
         return EXIT_FAILED
--- a/dunehold/coordination/upkeep/care.py
+++ b/dunehold/coordination/maintenance/controller.py
@@ -1,8 +1,9 @@
 """The leader's care for operators' orders: what is out of service, stopped, and done next.
 
-The view says what is ordered; the ledger asks ``closed`` before every start, so that nothing is
-begun on a machine from the moment at which this node's view has the order. Stops by choice are
-written down before they are commanded. Steps follow from what is durable and what is there.
+The view says what is ordered; the ledger asks ``out_of_service_order`` before every start, so
+that nothing is begun on a machine from the moment at which this node's view has the order.
+Stops by choice are written down before they are commanded.
+Steps follow from what is durable and what is there.
 """
 
 from __future__ import annotations
@@ -14,75 +15,75 @@
 from typing import Any
 
 from dunehold.bookkeeping import records
-from dunehold.bookkeeping.disruptions import Disruptions, Hit, Whole
+from dunehold.bookkeeping.disruptions import Disruption, DisruptionTracker, TeamTotals
 from dunehold.bookkeeping.hosts import Host, Run
 from dunehold.bookkeeping.ledger import Ledger, host_allowed
-from dunehold.bookkeeping.orders import Progress, Sort, Stage
+from dunehold.bookkeeping.orders import HostKind, OrderProgress, Stage
 from dunehold.bookkeeping.view import View
-from dunehold.coordination.durable.recorder import Recorder
 from dunehold.coordination.fleet.autoscaler import Rent
-from dunehold.coordination.fleet.fleet import LATE_BOOTS, Fleet
-from dunehold.coordination.picture.estimates import Estimates
-from dunehold.coordination.picture.offers import Offer
-from dunehold.coordination.picture.picture import Picture
+from dunehold.coordination.fleet.fleet import LATE_AFTER_BOOT_TIMES, Fleet
+from dunehold.coordination.maintenance import draining, replacement, scope
+from dunehold.coordination.maintenance.draining import DrainCandidate
+from dunehold.coordination.persistence.recorder import Recorder
+from dunehold.coordination.planning.estimates import RuntimeEstimates
+from dunehold.coordination.planning.offers import Offer
+from dunehold.coordination.planning.snapshot_builder import SnapshotBuilder
 from dunehold.coordination.scheduler.model import HostState
-from dunehold.coordination.upkeep import draining, scope, steps
-from dunehold.coordination.upkeep.draining import Aboard
-from dunehold.coordination.zones.watch import ZoneWatch
+from dunehold.coordination.zones.monitor import ZoneMonitor
 from dunehold.protocol import codec
 from dunehold.protocol.cloud import MachineType
 from dunehold.protocol.codec import BadMessage
-from dunehold.protocol.operators import Order, OrderKind, Wish
+from dunehold.protocol.operators import DesiredState, Order, OrderKind
 from dunehold.protocol.users import JobSpec
 from dunehold.settings import Settings
 from dunehold.types import (
     EPSILON,
     AttemptId,
-    Condition,
     Duration,
     HostId,
     JobId,
-    Kind,
+    JobKind,
     MonotonicTime,
     OrderId,
-    Room,
+    Resources,
     TaskId,
     TaskPhase,
     Team,
     TypeName,
     WallTime,
     Zone,
+    ZoneCondition,
 )
 
 log = logging.getLogger(__name__)
 
-KEPT_ORDERS = 30  # that have ended, for operators to look at
-SLOW = 1.3  # times what others take: a fresh machine that is slower is bad
-HELD_UP_SHOWN = 5
-NO_NAME = HostId("-")  # before that of any machine
-DRAINED = "its machine is to run empty"
+MAX_ENDED_ORDERS = 30  # that have ended, for operators to look at
+MAX_SLOWNESS_FACTOR = 1.3  # times what others take: a fresh machine that is slower is bad
+MAX_HOLD_REASONS = 5
+LOWEST_HOST_ID = HostId("-")  # before that of any machine
+DRAIN_REASON = "its machine is to run empty"
 
 
 @dataclass(frozen=True, slots=True)
-class Cut:
+class StopGroup:
     """Attempts that are stopped together; without ``grace``, those that save get time to."""
 
     attempts: tuple[AttemptId, ...]
-    hit: Hit
+    hit: Disruption
     reason: str
     grace: Duration | None = None
 
 
 @dataclass(slots=True)
-class Care:
+class MaintenanceController:
     settings: Settings
     view: View
     ledger: Ledger
     recorder: Recorder
     types: dict[TypeName, MachineType]
-    estimates: Estimates
-    picture: Picture
-    zones: ZoneWatch
+    estimates: RuntimeEstimates
+    snapshot_builder: SnapshotBuilder
+    zones: ZoneMonitor
     fleet: Fleet
     may_start: Callable[[], bool]
     wall: Callable[[], float]
@@ -91,35 +92,39 @@
     requeue: Callable[[TaskId], None]
     in_time: Callable[[], dict[Team, tuple[int, int]]]  # done in time, of those with an aim
     waiting_cpus: Callable[[], float]
-    disruptions: Disruptions = field(init=False)
-    _newest: dict[OrderId, Progress] = field(default_factory=dict)  # decided, maybe not durable
-    _held_up: dict[OrderId, list[str]] = field(default_factory=dict)
+    disruptions: DisruptionTracker = field(init=False)
+    _pending_progress: dict[OrderId, OrderProgress] = field(
+        default_factory=dict
+    )  # decided, maybe not durable
+    _hold_reasons: dict[OrderId, list[str]] = field(default_factory=dict)
     _before: dict[OrderId, dict[Team, tuple[int, int]]] = field(default_factory=dict)
     _late: dict[OrderId, int] = field(default_factory=dict)
-    _failed: dict[OrderId, dict[HostId, Sort]] = field(default_factory=dict)  # fresh ones
+    _failed: dict[OrderId, dict[HostId, HostKind]] = field(default_factory=dict)  # fresh ones
     _marked: bool = False  # some machine is out of service by an order
-    _spending: int = 0  # stops that are being written down
+    _pending_stops: int = 0  # stops that are being written down
 
     def __post_init__(self) -> None:
-        self.disruptions = Disruptions(self.settings.operator.disruption)
-        self.ledger.closed = self.closed
+        self.disruptions = DisruptionTracker(self.settings.operator.disruption)
+        self.ledger.out_of_service_order = self.out_of_service_order
 
     # -- what is out of service ------------------------------------------------------------
 
-    def progress(self, order: OrderId) -> Progress:
-        return self._newest.get(order) or self.view.upkeep.get(order, scope.NOT_BEGUN)
+    def progress(self, order: OrderId) -> OrderProgress:
+        return self._pending_progress.get(order) or self.view.order_progress.get(
+            order, scope.NOT_BEGUN
+        )
 
-    def closed(self, host: Host) -> OrderId | None:
+    def out_of_service_order(self, host: Host) -> OrderId | None:
         """The order that keeps this machine out of service now, if any does."""
         if not self.view.orders:
             return None
         wall = WallTime(self.wall())
         for order in self.view.orders.values():
-            if scope.closed(order, self.progress(order.id), host, wall):
+            if scope.takes_out_of_service(order, self.progress(order.id), host, wall):
                 return order.id
         return None
 
-    def closes_at(self, host: Host, now: MonotonicTime) -> float:
+    def out_of_service_at(self, host: Host, now: MonotonicTime) -> float:
         """When a maintenance window that is known takes the machine; infinite if none does."""
         found = math.inf
         wall = self.wall()
@@ -128,14 +133,14 @@
             if (
                 begins is not None
                 and begins > wall
-                and order.wish is not Wish.ABORT
+                and order.desired_state is not DesiredState.ABORT
                 and order.kind is OrderKind.DRAIN
-                and scope.means(order, self.progress(order.id), host)
+                and scope.applies_to(order, self.progress(order.id), host)
             ):
                 found = min(found, now + begins - wall)
         return found
 
-    def closed_offers(self) -> set[Offer]:
+    def excluded_offers(self) -> set[Offer]:
         """Kinds of which nothing is rented: all that there is of them is out of service."""
         wall = WallTime(self.wall())
         drains = [
@@ -149,24 +154,26 @@
             for kind in self.types.values()
             for zone in kind.zones
             for spot in (True, False)
-            if any(order.selection.whole(kind.name, zone, spot) for order in drains)
+            if any(
+                order.selection.matches_every_machine(kind.name, zone, spot) for order in drains
+            )
         }
 
-    def keeps(self, host: HostId) -> bool:
+    def is_retained(self, host: HostId) -> bool:
         """Rented for a replacement, and so not returned for being idle."""
         for order in self.view.orders.values():
             progress = self.progress(order.id)
             if (
                 order.kind is OrderKind.REPLACE
-                and order.wish is not Wish.ABORT
+                and order.desired_state is not DesiredState.ABORT
                 and not progress.stage.final
-                and progress.mark is not None
-                and host > progress.mark
+                and progress.last_host is not None
+                and host > progress.last_host
             ):
                 return True
         return False
 
-    def mark(self) -> None:
+    def apply_orders(self) -> None:
         """Bring the machines in line with the orders as the view has them now.
 
         Starts that nobody can have carried out are taken back: guards against one that was
@@ -176,7 +183,7 @@
             return
         self._marked = False
         for host in self.ledger.hosts.values():
-            order = self.closed(host)
+            order = self.out_of_service_order(host)
             self._marked = self._marked or order is not None
             if order == host.order:
                 continue
@@ -184,11 +191,11 @@
             if order is None:
                 if host.draining == f"order {host.order}":
                     host.draining = None
-                host.kept = False
+                host.retained_by_order = False
             else:
                 if host.draining is None or host.draining == f"order {host.order}":
                     host.draining = f"order {order}"
-                host.kept = self.view.orders[order].keep
+                host.retained_by_order = self.view.orders[order].keep_rented
                 for run in [run for run in host.runs.values() if run.unsent]:
                     if self.ledger.withdraw(run):
                         self.requeue(run.id.task)
@@ -205,113 +212,121 @@
             # Unknown means spent: nothing by choice until the longest window is over.
             log.error("disruptions are not readable: %s", error)
             self.disruptions.block(self.settings.teams, now)
-        self.mark()
+        self.apply_orders()
 
     def orders_changed(self) -> None:
         """An operator said something that this node's view has now."""
-        for order in (*self._held_up, *self._before, *self._late, *self._failed):
+        for order in (*self._hold_reasons, *self._before, *self._late, *self._failed):
             if order not in self.view.orders:
-                self._forget(order)
+                self._drop_order(order)
         if any(order.begins_at is not None for order in self.view.orders.values()):
             for host in self.ledger.hosts.values():
                 host.version += 1  # a window may have come or gone: it is pictured anew
-        self.mark()
+        self.apply_orders()
 
-    def _forget(self, order: OrderId) -> None:
-        self.fleet.extra.pop(order, None)
-        for kept in (self._held_up, self._before, self._late, self._failed):
+    def _drop_order(self, order: OrderId) -> None:
+        self.fleet.rentals_for_orders.pop(order, None)
+        for kept in (self._hold_reasons, self._before, self._late, self._failed):
             kept.pop(order, None)
 
-    def step(self, now: MonotonicTime) -> None:
-        self.disruptions.step(now)
+    def update(self, now: MonotonicTime) -> None:
+        self.disruptions.expire(now)
         if not self.may_start():
             return
-        for name, progress in list(self._newest.items()):
-            if name not in self.view.orders or progress == self.view.upkeep.get(name):
-                del self._newest[name]
+        for name, progress in list(self._pending_progress.items()):
+            if name not in self.view.orders or progress == self.view.order_progress.get(name):
+                del self._pending_progress[name]
         wall = WallTime(self.wall())
         for order in list(self.view.orders.values()):
             self._advance(order, now, wall)
-        self.mark()
+        self.apply_orders()
         self._empty(now, wall)
-        self._tidy()
+        self._forget_ended_orders()
 
     # -- steps -----------------------------------------------------------------------------
 
     def _advance(self, order: Order, now: MonotonicTime, wall: WallTime) -> None:
         progress = self.progress(order.id)
         if progress.stage.final:
-            if order.wish is Wish.ABORT and progress.stage is not Stage.ABORTED:
+            if (
+                order.desired_state is DesiredState.ABORT
+                and progress.stage is not Stage.ABORTED
+            ):
                 return  # it had ended before
             return
-        if order.wish is Wish.ABORT:
-            self._decide(order, replace(progress, stage=Stage.ABORTED, hands=(), since=wall))
+        if order.desired_state is DesiredState.ABORT:
+            self._decide(
+                order,
+                replace(progress, stage=Stage.ABORTED, draining_hosts=(), stage_since=wall),
+            )
             return
         if order.begins_at is not None and wall < order.begins_at:
-            self._held_up[order.id] = [f"begins in {order.begins_at - wall:.0f} s"]
+            self._hold_reasons[order.id] = [f"begins in {order.begins_at - wall:.0f} s"]
             return
-        if progress.stage is Stage.NEW and progress.mark is None:
-            mark = self._take_up(order, now)
+        if progress.stage is Stage.NEW and progress.last_host is None:
+            mark = self._newest_matching_host(order, now)
             if mark is None:
-                self._held_up[order.id] = ["the machines' ages are not listed yet"]
+                self._hold_reasons[order.id] = ["the machines' ages are not listed yet"]
                 return
             stage = Stage.NEW if order.kind is OrderKind.REPLACE else Stage.DRAINING
-            progress = replace(progress, mark=mark, stage=stage, since=wall)
+            progress = replace(progress, last_host=mark, stage=stage, stage_since=wall)
             self._decide(order, progress)
         if order.kind is OrderKind.DRAIN:
             self._advance_drain(order, progress, wall)
-        elif self.view.upkeep.get(order.id) == progress:
+        elif self.view.order_progress.get(order.id) == progress:
             # Nothing is rented or taken by what a next leader would not know of.
             self._advance_replacement(order, progress, now, wall)
 
-    def _take_up(self, order: Order, now: MonotonicTime) -> HostId | None:
+    def _newest_matching_host(self, order: Order, now: MonotonicTime) -> HostId | None:
         """The last machine that is meant. Ages are by the cloud's list."""
         older = order.selection.older_s
         if older is None:
-            return max(self.ledger.hosts, default=NO_NAME)
+            return max(self.ledger.hosts, default=LOWEST_HOST_ID)
         if not self.fleet.listed:
             return None
         old = [item.host for item in self.fleet.listed.values() if item.age_s > older]
-        return max(old, default=NO_NAME)
+        return max(old, default=LOWEST_HOST_ID)
 
-    def _decide(self, order: Order, progress: Progress) -> None:
+    def _decide(self, order: Order, progress: OrderProgress) -> None:
         if progress != self.progress(order.id):
             log.info(
                 "order %s: %s, wave %d of %d machines, %d done%s",
                 order.id,
                 progress.stage.value,
                 progress.wave,
-                progress.size,
-                progress.done,
-                f": {progress.why}" if progress.why else "",
+                progress.wave_size,
+                progress.hosts_done,
+                f": {progress.halt_reason}" if progress.halt_reason else "",
+            )
+        self._pending_progress[order.id] = progress
+        self.recorder.record_order_progress(order.id, progress)
+
+    def _matching_hosts(self, order: Order, progress: OrderProgress) -> list[Host]:
+        return [h for h in self.ledger.hosts.values() if scope.applies_to(order, progress, h)]
+
+    def _advance_drain(self, order: Order, progress: OrderProgress, wall: WallTime) -> None:
+        left = self._matching_hosts(order, progress)
+        busy = sum(host.busy or not host.session_known for host in left)
+        lasting = not scope.limited_to_existing(order) and not order.selection.hosts
+        if not left and not lasting and not order.keep_rented:
+            self._decide(
+                order, replace(progress, stage=Stage.DONE, stage_since=wall, halt_reason="")
             )
-        self._newest[order.id] = progress
-        self.recorder.order(order.id, progress)
-
-    def _meant(self, order: Order, progress: Progress) -> list[Host]:
-        return [h for h in self.ledger.hosts.values() if scope.means(order, progress, h)]
-
-    def _advance_drain(self, order: Order, progress: Progress, wall: WallTime) -> None:
-        left = self._meant(order, progress)
-        busy = sum(host.busy or not host.known for host in left)
-        lasting = not scope.marked(order) and not order.selection.hosts
-        if not left and not lasting and not order.keep:
-            self._decide(order, replace(progress, stage=Stage.DONE, since=wall, why=""))
             return
         if busy:
-            self._held_up[order.id] = [f"{busy} machines are not empty yet"]
+            self._hold_reasons[order.id] = [f"{busy} machines are not empty yet"]
         else:
-            self._held_up[order.id] = ["empty; out of service until it is undrained"]
+            self._hold_reasons[order.id] = ["empty; out of service until it is undrained"]
 
     def _advance_replacement(
-        self, order: Order, progress: Progress, now: MonotonicTime, wall: WallTime
+        self, order: Order, progress: OrderProgress, now: MonotonicTime, wall: WallTime
     ) -> None:
-        if order.wish is Wish.PAUSE:
-            self._held_up[order.id] = ["paused"]
+        if order.desired_state is DesiredState.PAUSE:
+            self._hold_reasons[order.id] = ["paused"]
             return
-        seen = self._seen(order, progress, now, wall)
-        step = steps.next_step(progress, seen)
-        self._held_up[order.id] = [step.hold_up] if step.hold_up else []
+        seen = self._observe(order, progress, now, wall)
+        step = replacement.next_step(progress, seen)
+        self._hold_reasons[order.id] = [step.hold_up] if step.hold_up else []
         if step.progress != progress:
             if step.progress.wave != progress.wave:
                 self._before.setdefault(order.id, self.in_time())
@@ -320,68 +335,74 @@
             host = self.ledger.hosts.get(name)
             if host is not None and host.draining is None:
                 host.draining = f"order {order.id} is halted"
-        if step.rent and progress.of is not None:
-            self.fleet.extra[order.id] = [Rent(self._target(order, progress.of), step.rent)]
+        if step.rent and progress.host_kind is not None:
+            self.fleet.rentals_for_orders[order.id] = [
+                Rent(self._target(order, progress.host_kind), step.rent)
+            ]
         else:
-            self.fleet.extra.pop(order.id, None)
+            self.fleet.rentals_for_orders.pop(order.id, None)
 
     @staticmethod
-    def _target(order: Order, of: Sort) -> Offer:
-        return Offer(order.to or of[0], of[1], of[2])
+    def _target(order: Order, of: HostKind) -> Offer:
+        return Offer(order.replacement_type or of[0], of[1], of[2])
 
-    def _seen(
-        self, order: Order, progress: Progress, now: MonotonicTime, wall: WallTime
-    ) -> steps.Seen:
+    def _observe(
+        self, order: Order, progress: OrderProgress, now: MonotonicTime, wall: WallTime
+    ) -> replacement.Observation:
         old, fresh = [], []
         kinds = {(h.type, h.zone, h.spot) for h in self.ledger.hosts.values()}
         replaced = {self._target(order, kind): kind for kind in sorted(kinds)}
         failed = self._failed.setdefault(order.id, {})
         for host in self.ledger.hosts.values():
             kind = host.type, host.zone, host.spot
-            if scope.means(order, progress, host):
-                old.append(steps.Old(host.id, kind, host.used.cpus))
-            elif progress.mark is not None and host.id > progress.mark:
+            if scope.applies_to(order, progress, host):
+                old.append(replacement.OldHost(host.id, kind, host.used.cpus))
+            elif progress.last_host is not None and host.id > progress.last_host:
                 # Those of this wave first: several kinds may be replaced by one type.
-                of = progress.of
+                of = progress.host_kind
                 if of is None or self._target(order, of) != Offer(*kind):
                     of = replaced.get(Offer(*kind))
                 if of is None:
                     continue
-                if self._bad(host, now):
+                if self._is_faulty(host, now):
                     failed[host.id] = of  # for good, though it is returned before long
                     continue
                 failed.pop(host.id, None)  # it came up after all
                 if not host.deleting and host.draining is None:
-                    fresh.append(steps.Fresh(host.id, of, host.known, False))
-        fresh += [steps.Fresh(name, of, False, True) for name, of in failed.items()]
-        states = [s for s in self.picture.host_states(now) if s.ready_at <= now]
+                    fresh.append(replacement.FreshHost(host.id, of, host.session_known, False))
+        fresh += [replacement.FreshHost(name, of, False, True) for name, of in failed.items()]
+        states = [s for s in self.snapshot_builder.host_states(now) if s.ready_at <= now]
         staying = {one.id for one in old}
         boots = [kind.boot_s for kind in self.types.values()]
-        return steps.Seen(
+        return replacement.Observation(
             now=wall,
             old=tuple(old),
             fresh=tuple(fresh),
-            well={z for z in self.settings.zones if self.zones.condition(z) is Condition.WELL},
+            trusted_zones={
+                z
+                for z in self.settings.zones
+                if self.zones.condition(z) is ZoneCondition.HEALTHY
+            },
             boot_s=max(boots, default=30.0),
             refused={
                 kind
                 for offer, kind in replaced.items()
-                if self.fleet.lately_refused(offer, now)
+                if self.fleet.recently_refused(offer, now)
             },
             waiting_cpus=self.waiting_cpus(),
             fleet_cpus=sum(state.total.cpus for state in states),
             free_cpus=sum(s.free.cpus for s in states if s.id not in staying),
-            fell=self._fell(order.id),
+            regression=self._on_time_regression(order.id),
         )
 
-    def _bad(self, host: Host, now: MonotonicTime) -> bool:
+    def _is_faulty(self, host: Host, now: MonotonicTime) -> bool:
         kind = self.types.get(host.type)
         boot_s = kind.boot_s if kind is not None else 30.0
-        if not host.up and host.fed_at is None:
-            return now - host.created_at > LATE_BOOTS * boot_s
-        return host.quarantined_at is not None or host.slowness > SLOW
+        if not host.up and host.lease_renewed_at is None:
+            return now - host.created_at > LATE_AFTER_BOOT_TIMES * boot_s
+        return host.quarantined_at is not None or host.slowness > MAX_SLOWNESS_FACTOR
 
-    def _fell(self, order: OrderId) -> str:
+    def _on_time_regression(self, order: OrderId) -> str:
         """A team of whose jobs far fewer are in time than before the order began."""
         before = self._before.get(order)
         if before is None:
@@ -389,60 +410,72 @@
         for team, (in_time, timed) in self.in_time().items():
             was_in_time, was_timed = before.get(team, (0, 0))
             number = timed - was_timed
-            if was_timed < steps.ENOUGH_TIMED or number < steps.ENOUGH_TIMED:
+            if was_timed < replacement.MIN_TIMED_JOBS or number < replacement.MIN_TIMED_JOBS:
                 continue
-            if (in_time - was_in_time) / number < was_in_time / was_timed - steps.FELL_BY:
+            if (
+                in_time - was_in_time
+            ) / number < was_in_time / was_timed - replacement.MAX_ON_TIME_DROP:
                 return f"team {team}: far fewer jobs are in time than before"
         return ""
 
-    def _tidy(self) -> None:
+    def _forget_ended_orders(self) -> None:
         """Orders that ended long ago are forgotten, and so is what was asked for them."""
         ended = [
             order
             for order in self.view.orders.values()
-            if self.progress(order.id).stage.final and not order.keep
+            if self.progress(order.id).stage.final and not order.keep_rented
         ]
         for order in ended:
-            self.fleet.extra.pop(order.id, None)
-        ended.sort(key=lambda order: self.progress(order.id).since)
-        for order in ended[:-KEPT_ORDERS]:
-            if order.id in self.view.upkeep and order.id not in self.recorder.upkeep:
-                self.recorder.order(order.id, None)
+            self.fleet.rentals_for_orders.pop(order.id, None)
+        ended.sort(key=lambda order: self.progress(order.id).stage_since)
+        for order in ended[:-MAX_ENDED_ORDERS]:
+            if (
+                order.id in self.view.order_progress
+                and order.id not in self.recorder.order_progress
+            ):
+                self.recorder.record_order_progress(order.id, None)
 
     # -- stops -----------------------------------------------------------------------------
 
     def _empty(self, now: MonotonicTime, wall: WallTime) -> None:
         """What has to be stopped on the machines that are to run empty."""
-        if self._spending:
+        if self._pending_stops:
             return
-        hosts = [h for h in self.ledger.hosts.values() if h.order is not None and h.known]
+        hosts = [
+            h for h in self.ledger.hosts.values() if h.order is not None and h.session_known
+        ]
         hosts = [
             h
             for h in hosts
-            if h.order in self.view.orders and self._goes(self.view.orders[h.order])
+            if h.order in self.view.orders and self._is_active(self.view.orders[h.order])
         ]
         if not any(host.busy for host in hosts):
             return
         decision = draining.decide(
-            self._aboard(hosts, now, wall), self.disruptions, self._wholes()
+            self._drain_candidates(hosts, now, wall), self.disruptions, self._wholes()
         )
         for order in {host.order for host in hosts if host.order is not None}:
             if decision.held_up:
-                self._held_up[order] = decision.held_up[:HELD_UP_SHOWN]
+                self._hold_reasons[order] = decision.held_up[:MAX_HOLD_REASONS]
             self._late[order] = decision.late
         if decision.stops:
-            cuts = [Cut(tuple(self._runs_of(one)), one.hit, DRAINED) for one in decision.stops]
-            self._spend(cuts, now)
+            cuts = [
+                StopGroup(tuple(self._runs_of(one)), one.hit, DRAIN_REASON)
+                for one in decision.stops
+            ]
+            self._record_and_stop(cuts, now)
 
     @staticmethod
-    def _goes(order: Order) -> bool:
-        return order.wish is Wish.GO
+    def _is_active(order: Order) -> bool:
+        return order.desired_state is DesiredState.PROCEED
 
-    def _aboard(self, hosts: list[Host], now: MonotonicTime, wall: WallTime) -> list[Aboard]:
+    def _drain_candidates(
+        self, hosts: list[Host], now: MonotonicTime, wall: WallTime
+    ) -> list[DrainCandidate]:
         free = {
             state.id: (state, state.free)
-            for state in self.picture.host_states(now)
-            if state.ready_at <= now and state.closes_at == math.inf
+            for state in self.snapshot_builder.host_states(now)
+            if state.ready_at <= now and state.out_of_service_at == math.inf
         }
         found = []
         for host in hosts:
@@ -454,33 +487,33 @@
                 if not run.occupies or spec is None:
                     continue
                 ran = run.ran_s(now)
-                service = spec.kind is Kind.SERVICE
-                members = len(self.ledger.by_job.get(spec.id, ()))
-                gang = members if spec.kind is Kind.GANG else 0
+                service = spec.kind is JobKind.SERVICE
+                members = len(self.ledger.task_zones_by_job.get(spec.id, ()))
+                gang = members if spec.kind is JobKind.GANG else 0
                 moves = service or spec.checkpoint_s > 0
                 found.append(
-                    Aboard(
+                    DrainCandidate(
                         run.id,
                         spec.team,
-                        self.picture.heirs.rank(spec),
+                        self.snapshot_builder.priority_inheritance.effective_rank(spec),
                         run.need.cpus,
                         ran,
-                        math.inf if service else self.estimates.left_s(spec, ran),
+                        math.inf if service else self.estimates.remaining_s(spec, ran),
                         spec.save_s if spec.checkpoint_s > 0 else 0.0,
                         limit_s,
                         service,
                         spec.tasks if service else 0,
-                        self._up(spec.id) if service else 0,
+                        self._replicas_up(spec.id) if service else 0,
                         gang,
                         gang * spec.need.cpus,
-                        moves and self._takes_place(spec, host.zone, free),
-                        run.stop_grace is not None,
+                        moves and self._reserve_room(spec, host.zone, free),
+                        run.stop_grace_s is not None,
                     )
                 )
         return found
 
-    def _takes_place(
-        self, spec: JobSpec, zone: Zone, free: dict[HostId, tuple[HostState, Room]]
+    def _reserve_room(
+        self, spec: JobSpec, zone: Zone, free: dict[HostId, tuple[HostState, Resources]]
     ) -> bool:
         """Does a machine stand ready for one of its tasks from that zone? Its room is taken."""
         zones = self.ledger.job_zones(spec.id)
@@ -501,80 +534,83 @@
     def _limit_s(self, order: Order, wall: WallTime) -> float:
         """From now until its machines are to be empty."""
         ends = math.inf if order.ends_at is None else order.ends_at
-        if order.within_s is not None:
+        if order.drain_timeout_s is not None:
             progress = self.progress(order.id)
-            began = progress.since if progress.stage is not Stage.NEW else wall
-            ends = min(ends, began + order.within_s)
+            began = progress.stage_since if progress.stage is not Stage.NEW else wall
+            ends = min(ends, began + order.drain_timeout_s)
         return ends - wall
 
-    def _up(self, job: JobId) -> int:
+    def _replicas_up(self, job: JobId) -> int:
         """Replicas that run and are not about to be stopped."""
         count = 0
-        for task in self.ledger.by_job.get(job, ()):
-            runs = self.ledger.present.get(task, ())
+        for task in self.ledger.task_zones_by_job.get(job, ()):
+            runs = self.ledger.runs_by_task.get(task, ())
             count += any(
-                run.phase is TaskPhase.RUNNING and run.stop_grace is None for run in runs
+                run.phase is TaskPhase.RUNNING and run.stop_grace_s is None for run in runs
             )
         return count
 
-    def _wholes(self) -> dict[Team, Whole]:
+    def _wholes(self) -> dict[Team, TeamTotals]:
         counts: dict[Team, int] = {}
-        for runs in self.ledger.present.values():
+        for runs in self.ledger.runs_by_task.values():
             if not runs[0].service:
                 counts[runs[0].team] = counts.get(runs[0].team, 0) + 1
         return {
-            team: Whole(counts.get(team, 0), use.cpus) for team, use in self.ledger.use.items()
+            team: TeamTotals(counts.get(team, 0), use.cpus)
+            for team, use in self.ledger.usage_by_team.items()
         }
 
-    def _runs_of(self, one: Aboard) -> list[AttemptId]:
+    def _runs_of(self, one: DrainCandidate) -> list[AttemptId]:
         """All of a gang goes with one of it."""
         if not one.gang:
             return [one.attempt]
-        tasks = self.ledger.by_job.get(one.attempt.task.job, {})
-        return [run.id for task in tasks for run in self.ledger.present.get(task, ())]
+        tasks = self.ledger.task_zones_by_job.get(one.attempt.task.job, {})
+        return [run.id for task in tasks for run in self.ledger.runs_by_task.get(task, ())]
 
     # -- budgets ---------------------------------------------------------------------------
 
     @property
-    def binds(self) -> bool:
+    def budgets_bind_scheduler(self) -> bool:
         """Do the scheduler's own doings keep to the budgets?"""
         return self.settings.operator.disruption.bind_all
 
-    def spared(self) -> frozenset[Team]:
+    def protected_teams(self) -> frozenset[Team]:
         """Teams of whose work nothing may be stopped by choice now."""
-        if not self.binds:
+        if not self.budgets_bind_scheduler:
             return frozenset()
         wholes = self._wholes()
         return frozenset(
             t for t, whole in wholes.items() if self.disruptions.exhausted(t, whole)
         )
 
-    def grant(self, wanted: Iterable[tuple[Run, Duration, str]], now: MonotonicTime) -> None:
+    def stop_within_budgets(
+        self, wanted: Iterable[tuple[Run, Duration, str]], now: MonotonicTime
+    ) -> None:
         """Stops that a plan wants, as far as the budgets allow them."""
         wholes = self._wholes()
         for run, grace, reason in wanted:
             spec = self._spec(run)
             if spec is None:
                 continue
-            hit = Hit(run.team, run.id.task.job, 1, run.need.cpus, run.service)
-            up = self._up(hit.job) if run.service else 0
+            hit = Disruption(run.team, run.id.task.job, 1, run.need.cpus, run.service)
+            up = self._replicas_up(hit.job) if run.service else 0
             refused = self.disruptions.refusal(
-                hit, wholes.get(run.team, Whole()), spec.tasks, up
+                hit, wholes.get(run.team, TeamTotals()), spec.tasks, up
             )
             if refused is not None:
                 log.debug("stop of %s held up: %s", run.id, refused)
             else:
                 # One by one: what the last was granted counts for the next.
-                self._spend([Cut((run.id,), hit, reason, grace)], now)
+                self._record_and_stop([StopGroup((run.id,), hit, reason, grace)], now)
 
     def _spec(self, run: Run) -> JobSpec | None:
         record = self.view.active.get(run.id.task.job)
         return record.spec if record is not None else None
 
-    def _spend(self, cuts: list[Cut], now: MonotonicTime) -> None:
+    def _record_and_stop(self, cuts: list[StopGroup], now: MonotonicTime) -> None:
         """Spent from here on, whatever becomes of it; stopped once that is durable."""
-        value = self.disruptions.record((cut.hit for cut in cuts), now, WallTime(self.wall()))
-        if len(codec.dump(value)) > records.value_room(self.settings.value_bytes):
+        value = self.disruptions.encode((cut.hit for cut in cuts), now, WallTime(self.wall()))
+        if len(codec.dump(value)) > records.usable_value_bytes(self.settings.value_bytes):
             # Too many teams at once for one record: what can't be written down is not done.
             log.info("%d stops wait: the record of disruptions is full", len(cuts))
             return
@@ -582,32 +618,32 @@
             cpus = cut.hit.cpus / max(1, len(cut.attempts))
             share = replace(cut.hit, tasks=1, cpus=cpus)
             for attempt in cut.attempts:
-                self.disruptions.note(share, attempt.task, now, choice=True)
-        self._spending += 1
+                self.disruptions.add(share, attempt.task, now, choice=True)
+        self._pending_stops += 1
         self.spawn(self._stop_once_durable(value, cuts))
 
-    async def _stop_once_durable(self, value: Any, cuts: list[Cut]) -> None:
+    async def _stop_once_durable(self, value: Any, cuts: list[StopGroup]) -> None:
         try:
             await self.recorder.record_disruptions(value)
         finally:
-            self._spending -= 1
+            self._pending_stops -= 1
         if not self.may_start():
             return
         for cut in cuts:
             for attempt in cut.attempts:
-                for run in list(self.ledger.present.get(attempt.task, ())):
-                    if run.id == attempt and run.stop_grace is None:
-                        self._stop(run, cut)
+                for run in list(self.ledger.runs_by_task.get(attempt.task, ())):
+                    if run.id == attempt and run.stop_grace_s is None:
+                        self._stop_run(run, cut)
 
-    def _stop(self, run: Run, cut: Cut) -> None:
+    def _stop_run(self, run: Run, cut: StopGroup) -> None:
         host = self.ledger.hosts.get(run.host)
-        alone = cut.reason == DRAINED and len(cut.attempts) == 1
+        alone = cut.reason == DRAIN_REASON and len(cut.attempts) == 1
         if alone and (host is None or host.order is None):
-            self.disruptions.restored(run.id.task)
+            self.disruptions.task_restored(run.id.task)
             return  # undrained meanwhile
         spec = self._spec(run)
-        if run.service and spec is not None and not self._spare(run, spec):
-            self.disruptions.restored(run.id.task)
+        if run.service and spec is not None and not self._may_spare_replica(run, spec):
+            self.disruptions.task_restored(run.id.task)
             return  # others of it went away while this was written down
         grace = cut.grace
         if grace is None:
@@ -616,18 +652,18 @@
         log.info("stop %s on %s: %s", run.id, run.host, cut.reason)
         self.stop(run, grace)
 
-    def _spare(self, run: Run, spec: JobSpec) -> bool:
+    def _may_spare_replica(self, run: Run, spec: JobSpec) -> bool:
         least = self.settings.operator.disruption.of(run.team).least_up.of(spec.tasks)
-        return self._up(spec.id) - 1 >= least - EPSILON
+        return self._replicas_up(spec.id) - 1 >= least - EPSILON
 
     # -- what happens ------------------------------------------------------------------------
 
-    def lost(self, runs: Iterable[Run], now: MonotonicTime) -> None:
+    def record_lost(self, runs: Iterable[Run], now: MonotonicTime) -> None:
         """Nobody chose it, but it counts."""
         for run in runs:
-            hit = Hit(run.team, run.id.task.job, 1, run.need.cpus, run.service)
+            hit = Disruption(run.team, run.id.task.job, 1, run.need.cpus, run.service)
             if run.id.task.job in self.view.active:
-                self.disruptions.note(hit, run.id.task, now, choice=False)
+                self.disruptions.add(hit, run.id.task, now, choice=False)
 
     # -- for operators -----------------------------------------------------------------------
 
@@ -638,7 +674,7 @@
 
     def _status(self, order: Order, wall: WallTime) -> dict[str, Any]:
         progress = self.progress(order.id)
-        left = self._meant(order, progress) if progress.mark is not None else []
+        left = self._matching_hosts(order, progress) if progress.last_host is not None else []
         over = progress.stage.final
         return {
             "stage": progress.stage.value,
@@ -646,21 +682,21 @@
             "in_hand": sum(host.order == order.id for host in self.ledger.hosts.values()),
             "left": 0 if over else len(left),
             "busy": sum(host.busy for host in left),
-            "done": progress.done,
-            "held_up": [] if over else self._held_up.get(order.id, []),
+            "done": progress.hosts_done,
+            "held_up": [] if over else self._hold_reasons.get(order.id, []),
             "late": self._late.get(order.id, 0),
-            "why": progress.why,
-            "over_in_s": None if over else self._over_in(order, progress, left, wall),
+            "why": progress.halt_reason,
+            "over_in_s": None if over else self._remaining_s(order, progress, left, wall),
         }
 
-    def _over_in(
-        self, order: Order, progress: Progress, left: list[Host], wall: WallTime
+    def _remaining_s(
+        self, order: Order, progress: OrderProgress, left: list[Host], wall: WallTime
     ) -> float | None:
         """When it should be over; None where nothing says so."""
         if order.kind is OrderKind.REPLACE:
-            if not progress.done:
+            if not progress.hosts_done:
                 return None
-            rate = progress.done / max(1.0, wall - order.made_at)
+            rate = progress.hosts_done / max(1.0, wall - order.created_at)
             return round(len(left) / rate, 0)
         longest = 0.0
         now = self.fleet.now()
@@ -669,8 +705,8 @@
                 spec = self._spec(run)
                 if spec is None or not run.occupies:
                     continue
-                if spec.kind is Kind.SERVICE:
+                if spec.kind is JobKind.SERVICE:
                     continue
                 ran = run.ran_s(now)
-                longest = max(longest, self.estimates.left_s(spec, ran))
+                longest = max(longest, self.estimates.remaining_s(spec, ran))
         return round(min(longest, max(0.0, self._limit_s(order, wall))), 0)
--- a/dunehold/coordination/upkeep/draining.py
+++ b/dunehold/coordination/maintenance/draining.py
@@ -14,15 +14,17 @@
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass, field
 
-from dunehold.bookkeeping.disruptions import Disruptions, Hit, Whole
+from dunehold.bookkeeping.disruptions import Disruption, DisruptionTracker, TeamTotals
 from dunehold.types import AttemptId, JobId, Rank, Team
 
-STOP_S = 1.0  # from the decision to the worker
-MOVE_WORTH_S = 30.0  # a task that saves is moved, not waited for, if it has longer to go
+STOP_LATENCY_S = 1.0  # from the decision to the worker
+MIN_REMAINING_TO_MOVE_S = (
+    30.0  # a task that saves is moved, not waited for, if it has longer to go
+)
 
 
 @dataclass(frozen=True, slots=True)
-class Aboard:
+class DrainCandidate:
     """An attempt on a machine that is to run empty. Times in seconds from now."""
 
     attempt: AttemptId
@@ -46,41 +48,43 @@
         return self.save_s > 0
 
     @property
-    def hit(self) -> Hit:
+    def hit(self) -> Disruption:
         tasks, cpus = (self.gang, self.gang_cpus) if self.gang else (1, self.cpus)
-        return Hit(self.team, self.attempt.task.job, tasks, cpus, self.service)
+        return Disruption(self.team, self.attempt.task.job, tasks, cpus, self.service)
 
     @property
-    def lost(self) -> float:
+    def lost_cpu_s(self) -> float:
         """CPU-seconds that stopping it now throws away."""
         return 0.0 if self.saves or self.service else self.ran_s * self.cpus
 
 
 @dataclass(slots=True)
-class Decision:
+class DrainDecision:
     """``stops``: of a gang, one attempt stands for all; ``held_up``: why others stay."""
 
-    stops: list[Aboard] = field(default_factory=list)
+    stops: list[DrainCandidate] = field(default_factory=list)
     held_up: list[str] = field(default_factory=list)
     late: int = 0  # tasks that the budgets keep beyond their machine's limit
 
 
 def decide(
-    aboard: Iterable[Aboard],
-    disruptions: Disruptions,
-    wholes: Mapping[Team, Whole],
-) -> Decision:
+    candidates: Iterable[DrainCandidate],
+    disruptions: DisruptionTracker,
+    wholes: Mapping[Team, TeamTotals],
+) -> DrainDecision:
     """What is to be stopped now. What it grants itself counts in the same decision: the
     caller notes it, or drops the decision."""
-    found = Decision()
+    found = DrainDecision()
     reasons: dict[str, None] = {}
     granted: dict[tuple[Team, JobId | None], tuple[int, float]] = {}
     gangs: set[JobId] = set()
-    for run in sorted(aboard, key=lambda r: (r.rank, r.lost / max(r.cpus, 0.01), r.attempt)):
+    for run in sorted(
+        candidates, key=lambda r: (r.rank, r.lost_cpu_s / max(r.cpus, 0.01), r.attempt)
+    ):
         job = run.attempt.task.job
         if run.stopping or job in gangs:
             continue
-        if not _wanted(run):
+        if not _should_stop(run):
             continue
         if run.service and not run.room_elsewhere:
             reasons[f"{job}: no machine stands ready for its replica"] = None
@@ -102,29 +106,29 @@
     return found
 
 
-def _wanted(run: Aboard) -> bool:
+def _should_stop(run: DrainCandidate) -> bool:
     """Should it be stopped now, or is it let end?"""
     if run.service:
         return True
-    left_s = run.limit_s - STOP_S
+    left_s = run.limit_s - STOP_LATENCY_S
     if not run.saves:
         return run.left_s > left_s  # it can't end in time
     if left_s <= run.save_s:
         return True  # its time is over
     # Saved, it loses nothing, now or later: it moves once a machine stands ready for it.
-    worth_s = min(left_s, MOVE_WORTH_S + run.save_s)
+    worth_s = min(left_s, MIN_REMAINING_TO_MOVE_S + run.save_s)
     return run.room_elsewhere and run.left_s > worth_s
 
 
 def _refusal(
-    run: Aboard,
-    disruptions: Disruptions,
-    wholes: Mapping[Team, Whole],
+    run: DrainCandidate,
+    disruptions: DisruptionTracker,
+    wholes: Mapping[Team, TeamTotals],
     granted: Mapping[tuple[Team, JobId | None], tuple[int, float]],
 ) -> str | None:
     hit = run.hit
     job = run.attempt.task.job if run.service else None
     tasks = granted.get((run.team, job), (0, 0.0))[0]
     every = sum(c for (team, _), (_, c) in granted.items() if team == run.team)
-    asked = Hit(hit.team, hit.job, hit.tasks + tasks, hit.cpus + every, hit.service)
-    return disruptions.refusal(asked, wholes.get(run.team, Whole()), run.replicas, run.up)
+    asked = Disruption(hit.team, hit.job, hit.tasks + tasks, hit.cpus + every, hit.service)
+    return disruptions.refusal(asked, wholes.get(run.team, TeamTotals()), run.replicas, run.up)
--- a/dunehold/coordination/durable/recorder.py
+++ b/dunehold/coordination/persistence/recorder.py
@@ -12,18 +12,18 @@
 from dunehold.bookkeeping import records
 from dunehold.bookkeeping.hosts import Run
 from dunehold.bookkeeping.ledger import Ledger
-from dunehold.bookkeeping.orders import Progress, encode_progress
+from dunehold.bookkeeping.orders import OrderProgress, encode_progress
 from dunehold.bookkeeping.records import HostRecord, JobRecord, ZoneRecord
-from dunehold.bookkeeping.view import VERSIONED, View
-from dunehold.coordination.durable.ends import Ends, Sweeper
-from dunehold.coordination.durable.sync import TROUBLE, Sync
+from dunehold.bookkeeping.view import VERSIONED_PREFIXES, View
+from dunehold.coordination.persistence.completions import CompletionWriter, GarbageCollector
+from dunehold.coordination.persistence.sync import STATE_SERVICE_ERRORS, ViewSync
 from dunehold.protocol import codec
 from dunehold.protocol.cloud import Rental
 from dunehold.protocol.state import (
     ABSENT,
     MAX_TXN_BYTES,
     Malformed,
-    Priority,
+    RequestPriority,
     StateClient,
     Txn,
 )
@@ -44,20 +44,20 @@
 log = logging.getLogger(__name__)
 
 RETRY_S = 0.3
-REFUSED_S = 1.0  # after a transaction that the state service finds malformed
-MARK_DELAY_S = 20.0
+MALFORMED_RETRY_S = 1.0  # after a transaction that the state service finds malformed
+BITMAP_DELAY_S = 20.0
 # Sooner where many tasks end: until its mark is durable, the worker reports each of them,
 # and reports must stay short. One write holds thousands of marks.
-MANY_MARKS, SOON_MARKS_S = 200, 3.0
-MAX_PAGE_HOSTS = 500
+SHORT_DELAY_TASKS, SHORT_BITMAP_DELAY_S = 200, 3.0
+MAX_HOSTS_PER_PAGE = 500
 
 
-class Deposed(Exception):
+class LeadershipLost(Exception):
     """The leader key is not this leader's any more."""
 
 
 @dataclass(slots=True)
-class _Unmarked:
+class _PendingBitmaps:
     """Tasks of a job that ended and are not on record yet."""
 
     due: float
@@ -74,17 +74,17 @@
 
     settings: Settings
     state: StateClient
-    sync: Sync
+    sync: ViewSync
     view: View
     ledger: Ledger
     leader_version: Revision
     token: Token
     on_written: Callable[[], None]
-    on_logged: Callable[[Iterable[HostId]], None]
+    on_starts_logged: Callable[[Iterable[HostId]], None]
     flush_gap_s: float
     wall: Callable[[], float]
     dirty_jobs: dict[JobId, None] = field(default_factory=dict)
-    unmarked: dict[JobId, _Unmarked] = field(default_factory=dict)
+    pending_bitmaps: dict[JobId, _PendingBitmaps] = field(default_factory=dict)
     dirty_hosts: dict[HostId, None] = field(default_factory=dict)
     new_rentals: dict[RentalId, Rental] = field(default_factory=dict)
     ended_rentals: dict[RentalId, None] = field(default_factory=dict)
@@ -92,22 +92,26 @@
     new_broken: set[JobId] | None = None  # to be written
     new_zones: dict[Zone, ZoneRecord] | None = None  # to be written
     new_successor: Zone | None = None  # to be written
-    upkeep: dict[OrderId, Progress | None] = field(default_factory=dict)  # None: to be deleted
+    order_progress: dict[OrderId, OrderProgress | None] = field(
+        default_factory=dict
+    )  # None: to be deleted
     _disruptions: Any = None  # as they are to be written
     _disruptions_asked: int = 0  # how often there was more to write
     _disruptions_written: int = 0
-    ends: Ends = field(init=False)
-    sweeper: Sweeper = field(init=False)
+    completions: CompletionWriter = field(init=False)
+    garbage_collector: GarbageCollector = field(init=False)
     _most_ops: int = field(init=False)
-    _in_doubt: set[str] = field(default_factory=set)  # keys with a write that may come late
+    _uncertain_keys: set[str] = field(
+        default_factory=set
+    )  # keys with a write that may come late
     _slot: int = 0  # of the log of starts, written next
     _wake: asyncio.Event = field(default_factory=asyncio.Event)
     _written: asyncio.Event = field(default_factory=asyncio.Event)
 
     def __post_init__(self) -> None:
         self._most_ops = self.settings.txn_ops
-        self.ends = Ends(self.settings, self.token, self.wall)
-        self.sweeper = Sweeper(
+        self.completions = CompletionWriter(self.settings, self.token, self.wall)
+        self.garbage_collector = GarbageCollector(
             self.settings,
             self.state,
             self.view,
@@ -115,33 +119,33 @@
             lambda: asyncio.get_running_loop().time(),
         )
 
-    def job(self, job: JobId, whole: bool) -> None:
+    def record_job(self, job: JobId, finished: bool) -> None:
         """The end of a job is written at once, the marks of one that goes on some time later.
 
         Until a mark is durable, the machine's report keeps the result; without either the
         task is only asked for once more, and its worker kept what it had done.
         """
-        if whole:
-            self.unmarked.pop(job, None)
+        if finished:
+            self.pending_bitmaps.pop(job, None)
             self.dirty_jobs[job] = None
             self._wake.set()
         elif job not in self.dirty_jobs:
             now = asyncio.get_running_loop().time()
-            entry = self.unmarked.get(job)
+            entry = self.pending_bitmaps.get(job)
             if entry is None:
-                entry = self.unmarked[job] = _Unmarked(now + MARK_DELAY_S)
+                entry = self.pending_bitmaps[job] = _PendingBitmaps(now + BITMAP_DELAY_S)
             entry.tasks += 1
-            if entry.tasks == MANY_MARKS:
-                entry.due = min(entry.due, now + SOON_MARKS_S)
+            if entry.tasks == SHORT_DELAY_TASKS:
+                entry.due = min(entry.due, now + SHORT_BITMAP_DELAY_S)
 
     def _take_due(self) -> None:
         now = asyncio.get_running_loop().time()
-        for job, entry in list(self.unmarked.items()):
+        for job, entry in list(self.pending_bitmaps.items()):
             if entry.due <= now:
-                del self.unmarked[job]
+                del self.pending_bitmaps[job]
                 self.dirty_jobs[job] = None
 
-    def host(self, host: HostId) -> None:
+    def record_host(self, host: HostId) -> None:
         self.dirty_hosts[host] = None
         self._wake.set()
 
@@ -151,20 +155,20 @@
         self.starts[run.id] = run
         self._wake.set()
 
-    def broken_jobs(self, jobs: set[JobId]) -> None:
+    def record_broken_jobs(self, jobs: set[JobId]) -> None:
         """A next leader must not find out anew, with a wave of failures for each."""
         self.new_broken = jobs
         self._wake.set()
 
-    def zones(self, zones: dict[Zone, ZoneRecord]) -> None:
+    def record_zones(self, zones: dict[Zone, ZoneRecord]) -> None:
         """A next leader must not learn of a lost zone by another wave of rentals."""
         if self.new_zones is not None or zones != self.view.zones:
             self.new_zones = zones
             self._wake.set()
 
-    def order(self, order: OrderId, progress: Progress | None) -> None:
+    def record_order_progress(self, order: OrderId, progress: OrderProgress | None) -> None:
         """How far the leader is with an order; None: nothing is kept of it any more."""
-        self.upkeep[order] = progress
+        self.order_progress[order] = progress
         self._wake.set()
 
     async def record_disruptions(self, value: Any) -> None:
@@ -175,7 +179,7 @@
         mine = self._disruptions_asked
         await self._until(lambda: self._disruptions_written >= mine)
 
-    async def name_successor(self, zone: Zone) -> None:
+    async def record_successor(self, zone: Zone) -> None:
         """Return once it is durable which zone should lead after this token. A hint: who leads
         is decided as ever, and others stand if nobody there does."""
         self.new_successor = zone
@@ -216,19 +220,19 @@
                     # and what is at fault goes behind everything else.
                     log.error("records refused, smaller ones follow: %s", error)
                     self._most_ops = max(1, self._most_ops // 2)
-                    self._put_back()
-                    await asyncio.sleep(REFUSED_S)
-                except TROUBLE as error:
+                    self._rotate_queues()
+                    await asyncio.sleep(MALFORMED_RETRY_S)
+                except STATE_SERVICE_ERRORS as error:
                     log.debug("records not written yet: %s", error)
                     await asyncio.sleep(RETRY_S)
-            with contextlib.suppress(*TROUBLE):  # tried again in a second
-                while not self._pending() and await self.sweeper.sweep():
+            with contextlib.suppress(*STATE_SERVICE_ERRORS):  # tried again in a second
+                while not self._pending() and await self.garbage_collector.sweep():
                     await asyncio.sleep(self.flush_gap_s)
 
-    def _put_back(self) -> None:
+    def _rotate_queues(self) -> None:
         """Turn each queue, so that another transaction is tried next."""
         queues: list[dict[Any, Any]] = [self.dirty_jobs, self.dirty_hosts]
-        queues += [self.starts, self.upkeep]
+        queues += [self.starts, self.order_progress]
         for queue in queues:
             for first in list(queue)[:1]:
                 queue[first] = queue.pop(first)
@@ -243,14 +247,14 @@
             or self.new_broken is not None
             or self.new_zones is not None
             or self._disruptions_written < self._disruptions_asked
-            or self.upkeep
+            or self.order_progress
             or self.new_successor is not None
         )
 
     async def _flush(self) -> None:
         txn = Txn(guards={records.LEADER_KEY: self.leader_version})
         limit = self._most_ops
-        logged = self._log(txn, max(1, limit // 2))
+        logged = self._log_starts(txn, max(1, limit // 2))
         rentals = [r for r in self.new_rentals.values()][
             : max(not txn.size, (limit - txn.size) // 2)
         ]
@@ -267,8 +271,8 @@
                     txn.deletes.add(records.RENTALS + name)
         broken = self.new_broken
         if broken is not None and txn.size < limit:
-            room = records.value_room(self.settings.value_bytes)
-            txn.puts[records.BROKEN] = records.encode_broken(
+            room = records.usable_value_bytes(self.settings.value_bytes)
+            txn.puts[records.BROKEN_JOBS] = records.encode_broken_jobs(
                 broken & self.view.active.keys(), room
             )
         zones = self.new_zones
@@ -283,7 +287,9 @@
         upkeep = self._order_changes(txn, limit)
         jobs = []
         # Who is waited for goes first: what comes after is held up by nothing else.
-        for job in sorted(self.dirty_jobs, key=lambda j: j not in self.view.needs.after):
+        for job in sorted(
+            self.dirty_jobs, key=lambda j: j not in self.view.dependency_index.dependents
+        ):
             if txn.size >= limit:
                 break
             if self._job_change(txn, job, limit - txn.size):
@@ -291,19 +297,19 @@
         if txn.size:
             keys = {*txn.puts, *txn.deletes}
             for key in keys:
-                if key.startswith(VERSIONED):
+                if key.startswith(VERSIONED_PREFIXES):
                     txn.guards[key] = self.view.versions.get(key, ABSENT)
             try:
-                result = await self.state.txn(txn, Priority.LEADER)
+                result = await self.state.txn(txn, RequestPriority.LEADER)
             except NoResponse:
-                self._in_doubt |= keys
+                self._uncertain_keys |= keys
                 raise
             if not result.ok and records.LEADER_KEY in result.failed:
-                raise Deposed
+                raise LeadershipLost
             if result.ok:
-                self._in_doubt -= keys
+                self._uncertain_keys -= keys
                 log.debug("recorded %d changes at revision %d", txn.size, result.revision)
-                self._logged(logged)
+                self._mark_starts_logged(logged)
                 for host_id in included:
                     host = self.ledger.hosts.get(host_id)
                     if host is not None:
@@ -317,7 +323,7 @@
             self.new_rentals.pop(rental.id, None)
         for name in ended:
             self.ended_rentals.pop(name, None)
-        if records.BROKEN in txn.puts and self.new_broken is broken:
+        if records.BROKEN_JOBS in txn.puts and self.new_broken is broken:
             self.new_broken = None
         if records.ZONES in txn.puts and self.new_zones is zones:
             self.new_zones = None
@@ -326,8 +332,8 @@
         if records.SUCCESSOR in txn.puts:
             self.new_successor = None
         for order, progress in upkeep.items():
-            if self.upkeep[order] is progress:
-                del self.upkeep[order]
+            if self.order_progress[order] is progress:
+                del self.order_progress[order]
         for host_id in hosts:
             # What changed while this was under way is still to be written.
             if self._wanted_host(host_id) == self.view.hosts.get(host_id):
@@ -335,27 +341,27 @@
         for job in jobs:
             self.dirty_jobs.pop(job, None)
             if job in self.view.active and self._job_differs(job):
-                self.job(job, self._finished(self.view.active[job]))
+                self.record_job(job, self._finished(self.view.active[job]))
         self._written.set()
         self.on_written()
 
-    def _order_changes(self, txn: Txn, limit: int) -> dict[OrderId, Progress | None]:
+    def _order_changes(self, txn: Txn, limit: int) -> dict[OrderId, OrderProgress | None]:
         """As many as fit; an order that has ended goes with what is kept of it."""
-        taken: dict[OrderId, Progress | None] = {}
-        for order, progress in self.upkeep.items():
+        taken: dict[OrderId, OrderProgress | None] = {}
+        for order, progress in self.order_progress.items():
             if txn.size + 2 > limit:
                 break
             taken[order] = progress
             if progress is not None:
-                txn.puts[records.UPKEEP + order] = encode_progress(progress)
+                txn.puts[records.ORDER_PROGRESS + order] = encode_progress(progress)
                 continue
             known = self.view.orders.get(order)
             if known is not None:
                 # Whatever an operator said of it meanwhile stands against this.
                 txn.guards[records.ORDERS + order] = known.version
                 txn.deletes.add(records.ORDERS + order)
-            if order in self.view.upkeep:
-                txn.deletes.add(records.UPKEEP + order)
+            if order in self.view.order_progress:
+                txn.deletes.add(records.ORDER_PROGRESS + order)
         return taken
 
     # -- starts ----------------------------------------------------------------------
@@ -364,7 +370,7 @@
     def _log_keys(txn: Txn) -> int:
         return sum(key.startswith(records.STARTS) for key in txn.puts)
 
-    def _log(self, txn: Txn, slots: int) -> list[Run]:
+    def _log_starts(self, txn: Txn, slots: int) -> list[Run]:
         """Put what is to be started into the next slots of the ring.
 
         What a slot held before and may still be on its machine goes along.
@@ -374,16 +380,16 @@
         for run in list(self.starts.values()):
             if not self._planned(run):
                 del self.starts[run.id]
-        room = records.value_room(self.settings.value_bytes)
+        room = records.usable_value_bytes(self.settings.value_bytes)
         passed = 0
         for number in range(records.START_SLOTS):
             if not waiting or self._log_keys(txn) >= slots:
                 break
             slot = (self._slot + number) % records.START_SLOTS
             passed = number + 1
-            placed: records.Placed = {}
-            for host, tasks in self.view.starts.get(slot, {}).items():
-                kept = {task for task in tasks if self.ledger.still_there(host, task)}
+            placed: records.TasksByHost = {}
+            for host, tasks in self.view.start_log.get(slot, {}).items():
+                kept = {task for task in tasks if self.ledger.must_stay_logged(host, task)}
                 if kept:
                     placed[host] = kept
             size = sum(records.starts_bytes(tasks) for tasks in placed.values())
@@ -405,16 +411,16 @@
         host = self.ledger.hosts.get(run.host)
         return host is not None and host.runs.get(run.id) is run and run.unsent
 
-    def _logged(self, runs: list[Run]) -> None:
+    def _mark_starts_logged(self, runs: list[Run]) -> None:
         if not runs:
             return
         hosts: dict[HostId, None] = {}
         for run in runs:
             self.starts.pop(run.id, None)
             if self._planned(run):
-                run.logged = True
+                run.start_logged = True
                 hosts[run.host] = None
-        self.on_logged(hosts)
+        self.on_starts_logged(hosts)
 
     # -- machines --------------------------------------------------------------------
 
@@ -429,7 +435,7 @@
         if not self.dirty_hosts:
             return []
         capacity = max(1, self.settings.value_bytes // records.HOST_BYTES)
-        capacity = min(capacity, MAX_PAGE_HOSTS)
+        capacity = min(capacity, MAX_HOSTS_PER_PAGE)
         pages = {page: dict(rows) for page, rows in self.view.host_pages.items()}
         where = {host: page for page, rows in pages.items() for host in rows}
         touched: dict[int, None] = {}
@@ -437,7 +443,7 @@
         for host_id in self.dirty_hosts:
             wanted = self._wanted_host(host_id)
             page = where.get(host_id)
-            in_doubt = page is not None and f"{records.HOSTS}{page}" in self._in_doubt
+            in_doubt = page is not None and f"{records.HOSTS}{page}" in self._uncertain_keys
             if wanted == self.view.hosts.get(host_id) and not in_doubt:
                 if wanted is not None:
                     self.ledger.hosts[host_id].recorded = True
@@ -515,43 +521,45 @@
     # -- jobs ------------------------------------------------------------------------
 
     def _finished(self, record: JobRecord) -> bool:
-        fresh = self.ledger.done.get(record.id, set())
-        count = record.done_count() + sum(not record.done(index) for index in fresh)
+        fresh = self.ledger.reported_done.get(record.id, set())
+        count = record.done_count() + sum(not record.is_task_done(index) for index in fresh)
         return count >= record.tasks
 
     def _job_differs(self, job: JobId) -> bool:
         record = self.view.active.get(job)
         return record is not None and any(
-            not record.done(index) for index in self.ledger.done.get(job, ())
+            not record.is_task_done(index) for index in self.ledger.reported_done.get(job, ())
         )
 
     def _job_change(self, txn: Txn, job: JobId, space: int) -> bool:
         """Add the job's writes; false if there is no space for them."""
         record = self.view.active.get(job)
         if record is None:
-            self.ledger.done.pop(job, None)
+            self.ledger.reported_done.pop(job, None)
             return True
-        fresh = {i for i in self.ledger.done.get(job, ()) if not record.done(i)}
+        fresh = {
+            i for i in self.ledger.reported_done.get(job, ()) if not record.is_task_done(i)
+        }
         if not fresh:
             return True
         # The job's version guards against calling a job done that its user has cancelled.
         key = records.job_key(job)
         if self._finished(record):
-            if record.pack is None:
+            if record.batch_key is None:
                 txn.guards[key] = record.version
                 txn.puts[key] = records.encode_done(record, WallTime(round(self.wall(), 3)))
-            elif not self.ends.add(txn, record, space):
+            elif not self.completions.add(txn, record, space):
                 return False
-            for page in list(record.marks)[: max(0, space - 1)]:
-                txn.deletes.add(records.mark_key(job, page))
+            for page in list(record.completion_bitmaps)[: max(0, space - 1)]:
+                txn.deletes.add(records.completion_bitmap_key(job, page))
             log.info("job %s: all %d tasks done", job, record.tasks)
             return True
         pages: dict[int, int] = {}
         for index in fresh:
-            page, bit = divmod(index, records.PAGE_TASKS)
-            pages[page] = pages.get(page, record.marks.get(page, 0)) | 1 << bit
+            page, bit = divmod(index, records.TASKS_PER_BITMAP_PAGE)
+            pages[page] = pages.get(page, record.completion_bitmaps.get(page, 0)) | 1 << bit
         for page, bits in list(pages.items())[:space]:
             if len(txn.encode()) > MAX_TXN_BYTES // 2:
                 return False
-            txn.puts[records.mark_key(job, page)] = records.encode_bitmap(bits)
+            txn.puts[records.completion_bitmap_key(job, page)] = records.encode_bitmap(bits)
         return True
--- a/dunehold/coordination/durable/sync.py
+++ b/dunehold/coordination/persistence/sync.py
@@ -10,19 +10,19 @@
 from dunehold.bookkeeping import records
 from dunehold.bookkeeping.view import View
 from dunehold.protocol.codec import BadMessage
-from dunehold.protocol.state import Priority, StateClient, TooOld, Unavailable
+from dunehold.protocol.state import RequestPriority, RevisionCompacted, StateClient, Unavailable
 from dunehold.transport.http import NoResponse
 from dunehold.types import Duration, JobId, MonotonicTime
 
 log = logging.getLogger(__name__)
 
 WATCH_HOLD_S = 20.0
-FAILING_S = 1.0
-TROUBLE = (Unavailable, NoResponse, BadMessage)
+FAILING_AFTER_S = 1.0
+STATE_SERVICE_ERRORS = (Unavailable, NoResponse, BadMessage)
 
 
 @dataclass(slots=True)
-class Sync:
+class ViewSync:
     state: StateClient
     view: View
     on_change: Callable[[list[JobId]], None]
@@ -38,26 +38,26 @@
     def failing(self) -> bool:
         """No proof was to be had for a while: asking again would make users wait for a no."""
         since = self.failing_since
-        return since is not None and asyncio.get_running_loop().time() - since > FAILING_S
+        return since is not None and asyncio.get_running_loop().time() - since > FAILING_AFTER_S
 
     async def load(self) -> None:
         """List everything. Who finds it loaded by somebody else has no proof of its own."""
         async with self._load_lock:
             if self.view.loaded:
                 return
-            entries, revision = await self.state.entries(records.PREFIX, Priority.LEADER)
+            entries, revision = await self.state.entries(records.PREFIX, RequestPriority.LEADER)
             sent = asyncio.get_running_loop().time()
             # The pages of a listing are of different moments: of two records of one job the
             # later might be there without the first. Nothing is told before they agree.
             changes, latest = await self.state.changes(
-                records.PREFIX, revision, 0.0, Priority.LEADER
+                records.PREFIX, revision, 0.0, RequestPriority.LEADER
             )
             if latest < self.view.applied:
                 # An answer of the watch came meanwhile, and users may have been told by it.
                 raise NoResponse("the listing is older than what is here")
             self.view.load(entries, revision)
             self.view.apply(changes, latest)
-            self.view.link()
+            self.view.resolve_dependencies()
             self.proved_at = MonotonicTime(sent)
             self.on_change(list(self.view.jobs))
             log.info("view loaded: %d jobs, revision %d", len(self.view.jobs), revision)
@@ -80,7 +80,7 @@
         loop = asyncio.get_running_loop()
         while self._waiting is not None:
             future, self._waiting = self._waiting, None
-            priority = Priority.LEASE if self._urgent else Priority.PROOF
+            priority = RequestPriority.LEASE if self._urgent else RequestPriority.PROOF
             self._urgent = False
             sent = loop.time()
             try:
@@ -91,7 +91,9 @@
                     self.failing_since = MonotonicTime(sent)
                 if not future.done():
                     future.set_exception(
-                        error if isinstance(error, TROUBLE) else Unavailable(str(error))
+                        error
+                        if isinstance(error, STATE_SERVICE_ERRORS)
+                        else Unavailable(str(error))
                     )
                     future.exception()  # callers may have given up
             else:
@@ -113,13 +115,13 @@
             await self.load()
             if self.proved_at >= asked:
                 return
-        await self.state.requests.take(priority)
+        await self.state.request_limiter.acquire(priority)
         sent = asyncio.get_running_loop().time()
         try:
             changes, revision = await self.state.changes(
-                records.PREFIX, self.view.applied, 0.0, priority, paid=True
+                records.PREFIX, self.view.applied, 0.0, priority, pre_acquired=True
             )
-        except TooOld:
+        except RevisionCompacted:
             self.view.loaded = False
             await self._refresh(priority)
             return
@@ -135,14 +137,14 @@
                 if not self.view.loaded:
                     await self.load()
                 changes, revision = await self.state.changes(
-                    records.PREFIX, self.view.applied, WATCH_HOLD_S, Priority.BULK
+                    records.PREFIX, self.view.applied, WATCH_HOLD_S, RequestPriority.BULK
                 )
                 touched = self.view.apply(changes, revision)
                 if changes:
                     self.on_change(touched)
                 await asyncio.sleep(self.watch_gap_s)
-            except TooOld:
+            except RevisionCompacted:
                 self.view.loaded = False
-            except TROUBLE as error:
+            except STATE_SERVICE_ERRORS as error:
                 log.debug("watch: %s", error)
                 await asyncio.sleep(0.5)
--- a/dunehold/coordination/picture/offers.py
+++ b/dunehold/coordination/planning/offers.py
@@ -7,7 +7,7 @@
 
 from dunehold.bookkeeping.ledger import host_allowed
 from dunehold.protocol.users import JobSpec
-from dunehold.types import HostId, Room, TypeName, Zone
+from dunehold.types import HostId, Resources, TypeName, Zone
 
 
 @dataclass(frozen=True, slots=True)
@@ -23,9 +23,11 @@
 class FleetHost:
     id: HostId
     offer: Offer
-    total: Room
-    free: Room  # now, or once booted
-    freed: list[tuple[float, Room]]  # estimated end and room of what runs on it
+    total: Resources
+    free: Resources  # now, or once booted
+    expected_releases: list[
+        tuple[float, Resources]
+    ]  # estimated end and room of what runs on it
     idle_s: float | None
 
 
@@ -33,40 +35,40 @@
 class Demand:
     """Waiting tasks of one shape."""
 
-    need: Room
+    need: Resources
     tasks: int
     run_s: float
     allowed: Callable[[Offer], bool]
 
 
-def demands_of(
+def demands_for_job(
     spec: JobSpec,
     tasks: int,
     run_s: float,
-    placed: Mapping[Zone, int],
-    usable: Collection[Zone],
+    tasks_by_zone: Mapping[Zone, int],
+    rentable_zones: Collection[Zone],
 ) -> list[Demand]:
     """What so many waiting tasks of a job ask for, zone by zone where its bounds say so.
 
     ``placed`` is where its tasks are or may be, ``usable`` the zones to rent in. Tasks that
     only a lost zone may take ask for nothing: a machine elsewhere would stand idle for them.
     """
-    if spec.one_zone and placed:
-        return [Demand(spec.need, tasks, run_s, _offers(spec, set(placed)))]
+    if spec.one_zone and tasks_by_zone:
+        return [Demand(spec.need, tasks, run_s, _allowed_in_zones(spec, set(tasks_by_zone)))]
     if not spec.spread:
-        return [Demand(spec.need, tasks, run_s, _offers(spec, usable))]
+        return [Demand(spec.need, tasks, run_s, _allowed_in_zones(spec, rentable_zones))]
     most = (spec.tasks + 1) // 2
-    room = {zone: max(0, most - placed.get(zone, 0)) for zone in usable}
+    room = {zone: max(0, most - tasks_by_zone.get(zone, 0)) for zone in rentable_zones}
     found = []
     for number, zone in enumerate(sorted(room, key=lambda zone: (room[zone], zone))):
         share = min(room[zone], -(-tasks // (len(room) - number)))
         if share > 0:
-            found.append(Demand(spec.need, share, run_s, _offers(spec, {zone})))
+            found.append(Demand(spec.need, share, run_s, _allowed_in_zones(spec, {zone})))
             tasks -= share
     return found
 
 
-def _offers(spec: JobSpec, zones: Collection[Zone]) -> Callable[[Offer], bool]:
+def _allowed_in_zones(spec: JobSpec, zones: Collection[Zone]) -> Callable[[Offer], bool]:
     def allowed(offer: Offer) -> bool:
         return offer.zone in zones and host_allowed(spec, offer.type, offer.zone, offer.spot)
 
--- a/dunehold/coordination/picture/heirs.py
+++ b/dunehold/coordination/planning/priority_inheritance.py
@@ -19,59 +19,61 @@
 from dunehold.types import JobId, Rank
 
 
-class Standing(NamedTuple):
+class InheritedPriority(NamedTuple):
     rank: Rank
     due_at: float  # time of day by which it should be complete for the sake of others
 
 
 @dataclass(slots=True)
-class Heirs:
+class PriorityInheritance:
     ledger: Ledger
     run_s: Callable[[JobSpec], float]
     on_change: Callable[[JobId], None]
-    _standing: dict[JobId, Standing] = field(default_factory=dict)  # of those with heirs
+    _inherited: dict[JobId, InheritedPriority] = field(
+        default_factory=dict
+    )  # of those with heirs
 
-    def rank(self, spec: JobSpec) -> Rank:
-        standing = self._standing.get(spec.id)
+    def effective_rank(self, spec: JobSpec) -> Rank:
+        standing = self._inherited.get(spec.id)
         return spec.rank if standing is None else standing.rank
 
     def due_at(self, job: JobId) -> float:
-        standing = self._standing.get(job)
+        standing = self._inherited.get(job)
         return math.inf if standing is None else standing.due_at
 
-    def came(self, job: JobId) -> None:
+    def add_waiting_job(self, job: JobId) -> None:
         """A job that waits for others is known from now on."""
         record = self.ledger.view.active.get(job)
         if record is not None and record.spec is not None:
-            self._spread(record.spec.awaits)
+            self._propagate(record.spec.dependencies)
 
-    def look_again(self, job: JobId) -> None:
+    def refresh(self, job: JobId) -> None:
         """Somebody who needed it may be gone."""
-        if job in self._standing:
-            self._spread([job])
+        if job in self._inherited:
+            self._propagate([job])
 
-    def over(self, job: JobId) -> None:
-        self._standing.pop(job, None)
+    def remove(self, job: JobId) -> None:
+        self._inherited.pop(job, None)
 
-    def _spread(self, needs: Iterable[JobId]) -> None:
+    def _propagate(self, needs: Iterable[JobId]) -> None:
         work = list(needs)
         while work:
             job = work.pop()
             record = self.ledger.view.active.get(job)
             if record is None or record.spec is None:
                 continue
-            standing = self._judge(job, record.spec)
-            if standing == self._standing.get(job):
+            standing = self._inherit(job, record.spec)
+            if standing == self._inherited.get(job):
                 continue
             if standing is None:
-                del self._standing[job]
+                del self._inherited[job]
             else:
-                self._standing[job] = standing
+                self._inherited[job] = standing
             self.on_change(job)
-            work.extend(record.spec.awaits)
+            work.extend(record.spec.dependencies)
 
-    def _judge(self, job: JobId, spec: JobSpec) -> Standing | None:
-        followers = self.ledger.view.needs.after.get(job)
+    def _inherit(self, job: JobId, spec: JobSpec) -> InheritedPriority | None:
+        followers = self.ledger.view.dependency_index.dependents.get(job)
         if not followers:
             return None
         rank, due = spec.rank, math.inf
@@ -79,10 +81,12 @@
             record = self.ledger.view.active.get(follower)
             if record is None or record.spec is None:
                 continue
-            rank = max(rank, self.rank(record.spec))
-            due = min(due, self._must_end(record, record.spec) - self.run_s(record.spec))
-        return Standing(rank, due)
+            rank = max(rank, self.effective_rank(record.spec))
+            due = min(
+                due, self._effective_due_at(record, record.spec) - self.run_s(record.spec)
+            )
+        return InheritedPriority(rank, due)
 
-    def _must_end(self, record: JobRecord, spec: JobSpec) -> float:
+    def _effective_due_at(self, record: JobRecord, spec: JobSpec) -> float:
         own = math.inf if spec.deadline_s is None else record.accepted_at + spec.deadline_s
         return min(own, self.due_at(record.id))
--- a/dunehold/coordination/picture/progress.py
+++ b/dunehold/coordination/planning/progress.py
@@ -7,9 +7,9 @@
 from dunehold.bookkeeping.ledger import Ledger
 from dunehold.bookkeeping.records import JobRecord
 from dunehold.protocol.users import JobSpec
-from dunehold.types import MANY, MonotonicTime, TaskId
+from dunehold.types import UNBOUNDED, MonotonicTime, TaskId
 
-ENOUGH_PEERS, MOST_DURATIONS = 4, 200
+MIN_PEER_DURATIONS, MAX_DURATIONS = 4, 200
 
 
 @dataclass(slots=True)
@@ -18,12 +18,14 @@
 
     spec: JobSpec
     waiting: set[int]
-    limits: list[float] = field(default_factory=list)  # when its aims want it complete
-    start_limit: float = MANY  # when its class wants it started
+    completion_targets_s: list[float] = field(
+        default_factory=list
+    )  # when its aims want it complete
+    start_target_s: float = UNBOUNDED  # when its class wants it started
     durations: list[float] = field(default_factory=list)  # of its tasks, in order
     held_until: MonotonicTime = MonotonicTime(-1e9)
-    begun: set[int] = field(default_factory=set)  # tasks that were seen to run
-    limited_s: float = 0.0  # for so long its team had no room under its limit
+    started_tasks: set[int] = field(default_factory=set)  # tasks that were seen to run
+    at_team_limit_s: float = 0.0  # for so long its team had no room under its limit
 
 
 def slowness(progress: JobProgress, ran_s: float) -> float | None:
@@ -32,12 +34,12 @@
     None until half of them have ended: those that end first are the fast ones.
     """
     known = progress.durations
-    if len(known) < max(ENOUGH_PEERS, min(progress.spec.tasks // 2, MOST_DURATIONS)):
+    if len(known) < max(MIN_PEER_DURATIONS, min(progress.spec.tasks // 2, MAX_DURATIONS)):
         return None
     return ran_s / max(known[len(known) * 3 // 4], 1.0)
 
 
-def unfinished(record: JobRecord, ledger: Ledger) -> set[int]:
+def waiting_tasks(record: JobRecord, ledger: Ledger) -> set[int]:
     """Tasks of a job that are neither done nor, possibly, on a machine."""
     spec = record.spec
     assert spec is not None
@@ -45,6 +47,6 @@
         index
         for index in range(spec.tasks)
         if not ledger.is_done(record, index)
-        and TaskId(record.id, index) not in ledger.present
-        and not ledger.may_run_unseen(TaskId(record.id, index))
+        and TaskId(record.id, index) not in ledger.runs_by_task
+        and not ledger.may_run_on_unreconciled_host(TaskId(record.id, index))
     }
--- a/dunehold/coordination/scheduler/clearing.py
+++ b/dunehold/coordination/scheduler/preemption.py
@@ -7,39 +7,39 @@
 
 from bisect import bisect_left
 
-from dunehold.coordination.scheduler.floor import PLANNED, Floor
 from dunehold.coordination.scheduler.model import Entry, HostState, RunState
-from dunehold.types import NO_ROOM, AttemptId, HostId, Rank, Tier
+from dunehold.coordination.scheduler.plan_state import PLANNED_ATTEMPT, PlanState
+from dunehold.types import NO_RESOURCES, AttemptId, HostId, Rank, Tier
 
-NO_AIM_S = 1e6
-LONGEST_WAIT_S = 600.0  # stands for waits without an end in sight
-GIVE_BACK_S = 3.0  # work of the lowest rank makes way for what would wait longer
-RESTART_S = 5.0  # to save, stop and begin again elsewhere
+NO_OBJECTIVE_SLACK_S = 1e6
+MAX_COUNTED_WAIT_S = 600.0  # stands for waits without an end in sight
+LOW_RANK_YIELD_WAIT_S = 3.0  # work of the lowest rank makes way for what would wait longer
+RESTART_COST_S = 5.0  # to save, stop and begin again elsewhere
 
 
-class Clearing(Floor):
+class PreemptionPlanner(PlanState):
     def _could_preempt(self, entry: Entry) -> bool:
         """Is there any work that may be stopped for it?"""
-        return entry.rank > self.lowest_rank or (entry.guaranteed and bool(self.borrowed))
+        return entry.rank > self.lowest_rank or (entry.guaranteed and bool(self.borrowed_runs))
 
     @property
     def lowest_rank(self) -> Rank:
-        if self._lowest is None:
-            ranks = (host.lowest for host in self._all_hosts())
-            self._lowest = min(ranks, default=Rank.PRODUCTION)
-        return self._lowest
+        if self._lowest_rank is None:
+            ranks = (host.lowest_rank for host in self._all_hosts())
+            self._lowest_rank = min(ranks, default=Rank.PRODUCTION)
+        return self._lowest_rank
 
     @property
-    def borrowed(self) -> set[AttemptId]:
-        if self._borrowed is None:
-            self._borrowed = self.snapshot.borrowed()
-        return self._borrowed
+    def borrowed_runs(self) -> set[AttemptId]:
+        if self._borrowed_runs is None:
+            self._borrowed_runs = self.snapshot.find_borrowed_runs()
+        return self._borrowed_runs
 
     def _may_preempt(self, entry: Entry, run: RunState, below: Rank) -> bool:
         """Lower priority, or borrowed room that a team needs for its guarantee."""
-        if run.stopping or run.gang or run.id.attempt == PLANNED:
+        if run.stopping or run.gang or run.id.attempt == PLANNED_ATTEMPT:
             return False
-        if run.team in self.snapshot.spared:
+        if run.team in self.snapshot.protected_teams:
             return False
         if run.rank < below:
             return True
@@ -47,10 +47,10 @@
             below == entry.rank
             and entry.guaranteed
             and run.team != entry.team
-            and run.id in self.borrowed
+            and run.id in self.borrowed_runs
         )
 
-    def _in_time(self, entry: Entry, wanted: int, within_s: float) -> int:
+    def _count_placeable_within(self, entry: Entry, wanted: int, within_s: float) -> int:
         """How many of its tasks find room in time, with nothing stopped.
 
         What frees up is promised to tasks earlier on the list first: counted on by every
@@ -60,28 +60,30 @@
         need = entry.need._replace(memory_gb=0.0)
         limit = self.now + within_s
         count = 0.0
-        for kind, groups in self._types_for(entry):
-            slots = bisect_left(self._slots(need, groups), limit)
-            before = self.promised.get(kind, 0.0) - self.own_promise.get(kind, 0.0)
+        for kind, groups in self._suitable_groups_by_type(entry):
+            slots = bisect_left(self._slot_times(need, groups), limit)
+            before = self.promised_cpus.get(kind, 0.0) - self.last_promised_cpus.get(kind, 0.0)
             count += max(0.0, slots - before / max(need.cpus, 0.01))
         return min(wanted, int(count))
 
-    def _late(self, entry: Entry) -> tuple[int, Rank]:
+    def _room_to_clear(self, entry: Entry) -> tuple[int, Rank]:
         """For how many of its tasks room must be cleared, and below which rank.
 
         Work of the lowest rank takes what is left, and gives it back as soon as others
         would wait for it; other work makes way for what would miss an aim.
         """
         none = (0, entry.rank)
-        if self.preempting_left <= 0 or self.stops_left <= 0 or not self._could_preempt(entry):
+        if self.preemptors_left <= 0 or self.stops_left <= 0 or not self._could_preempt(entry):
             return none
         wanted = min(entry.team_slots, len(entry.waiting))
-        if entry.patience_s < NO_AIM_S:
-            late = wanted - self._in_time(entry, wanted, entry.patience_s)
+        if entry.slack_s < NO_OBJECTIVE_SLACK_S:
+            late = wanted - self._count_placeable_within(entry, wanted, entry.slack_s)
             if late > 0:
                 return late, entry.rank
         if entry.rank > self.lowest_rank == Rank.LOW:
-            late = wanted - self._in_time(entry, wanted, min(entry.patience_s, GIVE_BACK_S))
+            late = wanted - self._count_placeable_within(
+                entry, wanted, min(entry.slack_s, LOW_RANK_YIELD_WAIT_S)
+            )
             return max(0, late), Rank(Rank.LOW + 1)
         return none
 
@@ -90,14 +92,14 @@
 
         Work is stopped only where less of it is lost than the stop spares in waiting.
         """
-        wait = min(max(shadow_s, entry.run_s), LONGEST_WAIT_S)
+        wait = min(max(shadow_s, entry.run_s), MAX_COUNTED_WAIT_S)
         worth = wait * max(entry.need.cpus, 1.0)
         options: list[tuple[float, HostId, HostState, list[RunState]]] = []
-        for group in self._suiting(entry):
+        for group in self._suitable_groups(entry):
             for host in group.hosts.values():
                 if host.ready_at > self.now:
                     continue
-                if host.lowest >= below and not (below == entry.rank and entry.guaranteed):
+                if host.lowest_rank >= below and not (below == entry.rank and entry.guaranteed):
                     continue  # nothing there may be stopped for it
                 if host.free.holds(entry.need):
                     continue  # it is held for the head, which goes first
@@ -108,7 +110,7 @@
         for _, _, host, victims in options[:late]:
             if len(victims) > self.stops_left:
                 return
-            self.claimed[host.id] = self.claimed.get(host.id, NO_ROOM).plus(entry.need)
+            self.claimed[host.id] = self.claimed.get(host.id, NO_RESOURCES).plus(entry.need)
             for run in victims:
                 self._stop(host, run, f"room for {entry.job}")
 
@@ -123,12 +125,14 @@
                 free = free.plus(run.need)
         victims: list[RunState] = []
         loss = 0.0
-        for run in sorted(candidates, key=lambda r: (not r.saves, -r.began_at)):
+        for run in sorted(candidates, key=lambda r: (not r.resumable, -r.began_at)):
             if free.holds(entry.need):
                 break
             free = free.plus(run.need)
             victims.append(run)
-            lost_s = RESTART_S if run.saves else self.now - run.began_at + RESTART_S
+            lost_s = (
+                RESTART_COST_S if run.resumable else self.now - run.began_at + RESTART_COST_S
+            )
             loss += lost_s * run.need.cpus
         return (loss, victims) if free.holds(entry.need) else None
 
@@ -140,7 +144,7 @@
                 break
             if run.stopping:
                 free = free.plus(run.need)
-            elif run.tier is Tier.BACKGROUND and run.team not in self.snapshot.spared:
+            elif run.tier is Tier.BACKGROUND and run.team not in self.snapshot.protected_teams:
                 free = free.plus(run.need)
                 victims.append(run)
         if free.holds(entry.need):
--- a/dunehold/coordination/term/delivery.py
+++ b/dunehold/coordination/term/delivery.py
@@ -21,10 +21,10 @@
 log = logging.getLogger(__name__)
 
 TIMEOUT_S = 2.0
-GAP_S = 0.02
-PROBE_GAP_S = 1.5
-CALLS_AT_ONCE = 64
-PROBES_AT_ONCE = 16  # a whole fleet asked at once would hold up everything else
+SEND_DELAY_S = 0.02
+PROBE_INTERVAL_S = 1.5
+MAX_CONCURRENT_CALLS = 64
+MAX_CONCURRENT_PROBES = 16  # a whole fleet asked at once would hold up everything else
 
 
 @dataclass(slots=True)
@@ -36,32 +36,34 @@
     may_start: Callable[[], bool]
     spawn: Callable[[Coroutine[Any, Any, None]], None]
     on_answer: Callable[[Host, Report, list[AttemptId]], None]
-    most_links: int  # sockets that kept-open connections to workers may take
+    max_connections: int  # sockets that kept-open connections to workers may take
     _clients: OrderedDict[HostId, Client] = field(default_factory=OrderedDict)
-    _talking: set[HostId] = field(default_factory=set)
-    _calls: asyncio.Semaphore = field(default_factory=lambda: asyncio.Semaphore(CALLS_AT_ONCE))
+    _sending: set[HostId] = field(default_factory=set)
+    _calls: asyncio.Semaphore = field(
+        default_factory=lambda: asyncio.Semaphore(MAX_CONCURRENT_CALLS)
+    )
 
-    def talk(self, host_id: HostId) -> None:
+    def send_urgent(self, host_id: HostId) -> None:
         """Send what can't wait for the next report, one call at a time a machine."""
-        if self.settings.operator.direct_commands and host_id not in self._talking:
-            self._talking.add(host_id)
-            self.spawn(self._talk(host_id))
+        if self.settings.operator.direct_commands and host_id not in self._sending:
+            self._sending.add(host_id)
+            self.spawn(self._send_urgent(host_id))
 
-    async def _talk(self, host_id: HostId) -> None:
+    async def _send_urgent(self, host_id: HostId) -> None:
         try:
             # Commands that the report being answered takes along need no call of their own.
-            await asyncio.sleep(GAP_S)
+            await asyncio.sleep(SEND_DELAY_S)
             for _ in range(3):
                 host = self.ledger.hosts.get(host_id)
-                if host is None or not self.ledger.has_direct(host):
+                if host is None or not self.ledger.has_urgent_commands(host):
                     return
                 async with self._calls:
-                    if not host.known or not host.address or not self.may_start():
+                    if not host.session_known or not host.address or not self.may_start():
                         return
                     if not await self._call(host):
                         return
         finally:
-            self._talking.discard(host_id)
+            self._sending.discard(host_id)
 
     async def _call(self, host: Host) -> bool:
         commands = self.ledger.commands(host, direct=True, starts=True)
@@ -86,18 +88,18 @@
         Their workers come by themselves once they have found the leader; this finds those
         first that still report elsewhere.
         """
-        slots = asyncio.Semaphore(PROBES_AT_ONCE)
+        slots = asyncio.Semaphore(MAX_CONCURRENT_PROBES)
 
         async def one(host: Host) -> None:
             async with slots:
-                if host.address and not host.known and not host.fenced:
+                if host.address and not host.session_known and not host.fenced:
                     await self._probe(host)
 
-        while hosts := self.ledger.unknown_hosts():
+        while hosts := self.ledger.unreconciled_hosts():
             async with asyncio.TaskGroup() as group:
                 for host in hosts:
                     group.create_task(one(host))
-            await asyncio.sleep(PROBE_GAP_S)
+            await asyncio.sleep(PROBE_INTERVAL_S)
 
     async def _probe(self, host: Host) -> None:
         try:
@@ -119,17 +121,17 @@
             name, _, port = host.address.rpartition(":")
             if not port.isdigit():
                 raise BadMessage(f"address {host.address!r}")
-            self._make_space()
+            self._evict_connections()
             client = self._clients[host.id] = self.connect(name, int(port), 1)
         self._clients.move_to_end(host.id)
         return client
 
-    def _make_space(self) -> None:
+    def _evict_connections(self) -> None:
         """A large fleet must not take the sockets of users and reporting workers."""
         for host_id in list(self._clients):
-            if len(self._clients) < self.most_links:
+            if len(self._clients) < self.max_connections:
                 return
-            if host_id not in self._talking:
+            if host_id not in self._sending:
                 self.drop(host_id)
 
     def drop(self, host: HostId) -> None:
--- a/dunehold/coordination/term/lateness.py
+++ b/dunehold/coordination/term/late_starts.py
@@ -20,7 +20,7 @@
 from enum import StrEnum
 
 from dunehold.bookkeeping.hosts import Run
-from dunehold.coordination.picture.progress import JobProgress
+from dunehold.coordination.planning.progress import JobProgress
 from dunehold.types import MonotonicTime
 
 
@@ -33,7 +33,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Wait:
+class FirstStart:
     """One first start, all moments on the leader's steady clock; ``limited_s`` in seconds."""
 
     accepted_at: float
@@ -68,35 +68,42 @@
 
 
 @dataclass(slots=True)
-class Lateness:
+class LateStarts:
     """Counts of one term, by class: first starts with a limit, and the late ones by cause."""
 
     took_over_at: MonotonicTime
     starts: Counter[str] = field(default_factory=Counter)
     late: dict[str, Counter[Cause]] = field(default_factory=dict)
 
-    def began(self, run: Run, progress: JobProgress, limit_s: float, waited_s: float) -> None:
+    def record_start(
+        self, run: Run, progress: JobProgress, limit_s: float, waited_s: float
+    ) -> None:
         """A task is seen to run, so long after its job was accepted."""
         number = run.id.task.number
-        if run.running_at is None or run.adopted or run.late or number in progress.begun:
+        if (
+            run.running_at is None
+            or run.adopted
+            or run.first_seen_late
+            or number in progress.started_tasks
+        ):
             return
-        progress.begun.add(number)
+        progress.started_tasks.add(number)
         job_class = progress.spec.job_class
         self.starts[job_class] += 1
         if waited_s <= limit_s:
             return
         accepted_at = run.running_at - waited_s
-        wait = Wait(
+        wait = FirstStart(
             accepted_at,
             max(self.took_over_at, accepted_at),
             run.planned_at,
             run.running_at,
-            progress.limited_s,
-            run.cached,
+            progress.at_team_limit_s,
+            run.image_cached,
         )
         self.late.setdefault(job_class, Counter())[wait.cause()] += 1
 
-    def line(self) -> str:
+    def summary(self) -> str:
         """For the log: by class, how many of how many were late, and why."""
         found = []
         for job_class, causes in sorted(self.late.items()):
--- a/dunehold/coordination/users/intake.py
+++ b/dunehold/coordination/users/job_api.py
@@ -12,77 +12,83 @@
 from dunehold.bookkeeping.ledger import host_allowed
 from dunehold.bookkeeping.records import JobRecord
 from dunehold.bookkeeping.view import View
-from dunehold.coordination.durable.sync import TROUBLE, Sync
-from dunehold.coordination.users.submissions import Submissions
+from dunehold.coordination.persistence.sync import STATE_SERVICE_ERRORS, ViewSync
+from dunehold.coordination.users.submissions import SubmissionQueue
 from dunehold.protocol import users
-from dunehold.protocol.answers import BAD_METHOD, BUSY, OUTAGE
 from dunehold.protocol.cloud import MachineType
 from dunehold.protocol.codec import BadMessage
-from dunehold.protocol.state import Priority, StateClient, Txn
+from dunehold.protocol.responses import METHOD_NOT_ALLOWED, STATE_UNAVAILABLE, TRY_AGAIN_LATER
+from dunehold.protocol.state import RequestPriority, StateClient, Txn
 from dunehold.protocol.users import JobSpec
 from dunehold.settings import Settings
 from dunehold.transport.http import Request, Response
-from dunehold.types import JobId, JobPhase, Kind, TypeName, WallTime
+from dunehold.types import JobId, JobKind, JobPhase, TypeName, WallTime
 
 log = logging.getLogger(__name__)
 
-LATEST_S = 2.0  # after the question: nobody waits any longer, and proofs have aged
-LONGEST_QUEUE_S = 0.5  # for the write budget; who would wait longer is told at once
-FRESH_S = 0.2  # an acceptance that took longer is told with what has become of the job since
+MAX_QUERY_S = 2.0  # after the question: nobody waits any longer, and proofs have aged
+MAX_SUBMIT_QUEUE_S = 0.5  # for the write budget; who would wait longer is told at once
+MAX_ACCEPTANCE_AGE_S = (
+    0.2  # an acceptance that took longer is told with what has become of the job since
+)
 NOT_FOUND = Response(404, users.encode_error("no such job"))
 MAX_RETRY_S = 10
-CANCEL_QUEUE_S = 3  # of the 5 s that a user waits
-CANCEL_TRIES = 4
+MAX_CANCEL_QUEUE_S = 3  # of the 5 s that a user waits
+MAX_CANCEL_ATTEMPTS = 4
 
 
-class Impossible(Exception):
+class Unschedulable(Exception):
     """The job can never run, with the reason."""
 
 
-def check_possible(
+def check_schedulable(
     spec: JobSpec, settings: Settings, types: dict[TypeName, MachineType]
 ) -> None:
     """Raise Impossible when no fleet could ever run the job."""
     team = settings.teams.get(spec.team)
     if team is None:
-        raise Impossible(f"owner: unknown team {spec.team}")
-    count = 1 if spec.kind is Kind.ARRAY else spec.tasks
+        raise Unschedulable(f"owner: unknown team {spec.team}")
+    count = 1 if spec.kind is JobKind.ARRAY else spec.tasks
     need = spec.need
     for name, limit, amount in (
         ("vcpus", team.limit_cpus, need.cpus),
         ("gpus", team.limit_gpus, need.gpus),
     ):
         if limit is not None and amount * count > limit + 1e-6:
-            raise Impossible(f"{name}: more than the team's limit")
+            raise Unschedulable(f"{name}: more than the team's limit")
     zones = set()
     for kind in types.values():
         for zone in kind.zones:
-            if host_allowed(spec, kind.name, zone, False) and kind.room.holds(need):
+            if host_allowed(spec, kind.name, zone, False) and kind.capacity.holds(need):
                 zones.add(zone)
     if not zones:
-        raise Impossible("a task fits no allowed machine type")
-    if spec.spread and spec.tasks > 1 and len(zones) < 2 and spec.kind is not Kind.ARRAY:
-        raise Impossible("spread: only one zone is possible")
-    if spec.spread and spec.one_zone and spec.tasks > 1 and spec.kind is not Kind.ARRAY:
-        raise Impossible("spread: contradicts together")
+        raise Unschedulable("a task fits no allowed machine type")
+    if spec.spread and spec.tasks > 1 and len(zones) < 2 and spec.kind is not JobKind.ARRAY:
+        raise Unschedulable("spread: only one zone is possible")
+    if spec.spread and spec.one_zone and spec.tasks > 1 and spec.kind is not JobKind.ARRAY:
+        raise Unschedulable("spread: contradicts together")
 
 
 @dataclass(slots=True)
-class Intake:
+class JobApi:
     settings: Settings
     state: StateClient
     view: View
-    sync: Sync
-    types: Callable[[], dict[TypeName, MachineType] | None]
-    running: Callable[[JobId], Awaitable[int]]
+    sync: ViewSync
+    machine_types: Callable[[], dict[TypeName, MachineType] | None]
+    count_running: Callable[[JobId], Awaitable[int]]
     wall: Callable[[], float]
-    submissions: Submissions
+    submissions: SubmissionQueue
 
     async def handle(self, request: Request) -> Response | None:
         """The answer to a user's request, or None when it is not a user's."""
         path = request.path
         if path == users.JOBS_PATH:
-            return await self._submit(request.body) if request.method == "POST" else BAD_METHOD
+            return (
+                await self._submit(request.body)
+                if request.method == "POST"
+                else METHOD_NOT_ALLOWED
+            )
         if not path.startswith(users.JOBS_PATH + "/"):
             return None
         name, _, action = path[len(users.JOBS_PATH) + 1 :].partition("/")
@@ -90,9 +96,9 @@
             return NOT_FOUND  # nobody can have submitted it
         job = JobId(name)
         if action == "":
-            return await self._get(job) if request.method == "GET" else BAD_METHOD
+            return await self._get(job) if request.method == "GET" else METHOD_NOT_ALLOWED
         if action == users.CANCEL_SUFFIX:
-            return await self._cancel(job) if request.method == "POST" else BAD_METHOD
+            return await self._cancel(job) if request.method == "POST" else METHOD_NOT_ALLOWED
         return NOT_FOUND
 
     # -- queries -------------------------------------------------------------------
@@ -105,19 +111,19 @@
         if record is not None and record.phase.final:
             return self._describe(record, 0)
         if self.sync.failing():
-            return OUTAGE
-        running = await self.running(job)  # for display, and a second old at most
+            return STATE_UNAVAILABLE
+        running = await self.count_running(job)  # for display, and a second old at most
         try:
             await self.sync.barrier()
-        except TROUBLE:
-            return BUSY  # what can't be proved is never a 404
+        except STATE_SERVICE_ERRORS:
+            return TRY_AGAIN_LATER  # what can't be proved is never a 404
         record = self.view.jobs.get(job)
         if record is None:
             return NOT_FOUND
-        if not record.phase.final and asyncio.get_running_loop().time() - asked > LATEST_S:
+        if not record.phase.final and asyncio.get_running_loop().time() - asked > MAX_QUERY_S:
             # The process may have stood still between the proof and this line, while
             # another node told the user that the job is over.
-            return BUSY
+            return TRY_AGAIN_LATER
         return self._describe(record, running)
 
     @staticmethod
@@ -135,33 +141,33 @@
         try:
             spec = users.decode_job(body)
         except BadMessage as error:
-            return await self._refuse(users.named_job(body), 400, str(error))
+            return await self._refuse(users.decode_job_id(body), 400, str(error))
         if spec.id in self.view.jobs:
             return await self._get(spec.id)
-        types = self.types()
+        types = self.machine_types()
         if types is None:
-            return BUSY
+            return TRY_AGAIN_LATER
         if self.sync.failing():
-            return OUTAGE
+            return STATE_UNAVAILABLE
         try:
-            check_possible(spec, self.settings, types)
-        except Impossible as error:
+            check_schedulable(spec, self.settings, types)
+        except Unschedulable as error:
             return await self._refuse(spec.id, 422, str(error))
         at = WallTime(round(self.wall(), 3))
         if self.submissions.too_large(spec, at):
             most = self.settings.value_bytes
             return await self._refuse(spec.id, 422, f"takes more than {most} bytes")
-        if spec.awaits:
-            refused = await self._check_awaits(spec)
+        if spec.dependencies:
+            refused = await self._check_dependencies(spec)
             if refused is not None:
                 return refused
         queued_s = self.submissions.wait_s()
-        if self.submissions.full() or queued_s > LONGEST_QUEUE_S:
+        if self.submissions.full() or queued_s > MAX_SUBMIT_QUEUE_S:
             later = min(MAX_RETRY_S, math.ceil(queued_s))
             return Response(503, users.encode_error("too many at once"), retry_after=later)
-        created, asked = await self.submissions.write(spec, at)
+        created, asked = await self.submissions.submit(spec, at)
         if created is None:
-            return BUSY
+            return TRY_AGAIN_LATER
         if not created:
             return await self._get(spec.id)
         log.info(
@@ -173,7 +179,7 @@
             spec.need.cpus,
         )
         record = self.view.jobs.get(spec.id)
-        if asyncio.get_running_loop().time() - asked > FRESH_S or (
+        if asyncio.get_running_loop().time() - asked > MAX_ACCEPTANCE_AGE_S or (
             record is not None and record.phase.final
         ):
             # Durable for a while before the answer came: another node may have found it, and
@@ -183,53 +189,55 @@
 
     async def _refuse(self, job: JobId | None, status: int, reason: str) -> Response:
         """Another node may have accepted this id: then that stands, whatever is sent now."""
-        known = None if job is None else await self._known_by_proof(job)
+        known = None if job is None else await self._find_after_barrier(job)
         return known or Response(status, users.encode_error(reason))
 
-    async def _check_awaits(self, spec: JobSpec) -> Response | None:
+    async def _check_dependencies(self, spec: JobSpec) -> Response | None:
         """Why it can't be accepted with what it names, or None.
 
         Only a proof sent after the question shows that a job is unknown: another node may
         have accepted it a moment ago, in a pack as well.
         """
-        if self._never_accepted(spec):
-            known = await self._known_by_proof(spec.id)
+        if self._unknown_dependencies(spec):
+            known = await self._find_after_barrier(spec.id)
             if known is not None:
                 return known
-            if any(self.submissions.pending(job) for job in self._never_accepted(spec)):
-                return BUSY  # about to be accepted here
-            if unknown := self._never_accepted(spec):
+            if any(
+                self.submissions.is_pending(job) for job in self._unknown_dependencies(spec)
+            ):
+                return TRY_AGAIN_LATER  # about to be accepted here
+            if unknown := self._unknown_dependencies(spec):
                 reason = f"awaits: {unknown[0]} was never accepted"
                 return Response(422, users.encode_error(reason))
-        for job in spec.awaits:
+        for job in spec.dependencies:
             other = self.view.jobs[job].spec
-            if other is not None and other.kind is Kind.SERVICE:
+            if other is not None and other.kind is JobKind.SERVICE:
                 # Never done: whoever waits for it would wait for ever.
                 return await self._refuse(spec.id, 422, f"awaits: {job} is a service")
         return None
 
-    async def _known_by_proof(self, job: JobId) -> Response | None:
+    async def _find_after_barrier(self, job: JobId) -> Response | None:
         """Its state where it is accepted; 503 where nobody can tell; None: it is not known."""
         if job in self.view.jobs:
             return await self._get(job)
         if self.sync.failing():
-            return OUTAGE
+            return STATE_UNAVAILABLE
         try:
             await self.sync.barrier()
-        except TROUBLE:
-            return BUSY
+        except STATE_SERVICE_ERRORS:
+            return TRY_AGAIN_LATER
         return await self._get(job) if job in self.view.jobs else None
 
-    def _never_accepted(self, spec: JobSpec) -> list[JobId]:
-        return [job for job in spec.awaits if job not in self.view.jobs]
+    def _unknown_dependencies(self, spec: JobSpec) -> list[JobId]:
+        return [job for job in spec.dependencies if job not in self.view.jobs]
 
     # -- cancellations -----------------------------------------------------------------
 
     async def _cancel(self, job: JobId) -> Response:
-        for _ in range(CANCEL_TRIES):
+        for _ in range(MAX_CANCEL_ATTEMPTS):
             record = self.view.jobs.get(job)
             if self.sync.failing() and (record is None or not record.phase.final):
-                return OUTAGE
+                return STATE_UNAVAILABLE
             try:
                 if record is None:
                     await self.sync.barrier()
@@ -239,22 +247,22 @@
                 if record.phase is not JobPhase.ACTIVE:
                     return Response(200, users.encode_state(job, record.phase.value))
                 assert record.spec is not None
-                later = math.ceil(self.state.writes.wait_s(1.0, Priority.CANCEL))
-                if later > CANCEL_QUEUE_S:
+                later = math.ceil(self.state.write_limiter.wait_s(1.0, RequestPriority.CANCEL))
+                if later > MAX_CANCEL_QUEUE_S:
                     reason = users.encode_error("too many at once")
                     return Response(503, reason, retry_after=min(MAX_RETRY_S, later))
                 key = records.job_key(job)
                 value = records.encode_cancelled(record, self.settings.value_bytes)
                 # The job's version guards against calling a job cancelled that is done.
                 txn = Txn(guards={key: record.version}, puts={key: value})
-                result = await self.state.txn(txn, Priority.CANCEL)
+                result = await self.state.txn(txn, RequestPriority.CANCEL)
                 if result.ok:
                     log.info("job %s cancelled by its user", job)
-                    if record.pack is None:
+                    if record.batch_key is None:
                         return Response(200, users.encode_state(job, "cancelled"))
                 # The end of a job that came in a pack has no key that a cancellation could
                 # be guarded by: whichever was first stands.
                 await self.sync.barrier()
-            except TROUBLE:
-                return BUSY
-        return BUSY
+            except STATE_SERVICE_ERRORS:
+                return TRY_AGAIN_LATER
+        return TRY_AGAIN_LATER
