--- a/dunehold/coordination/users/served.py
+++ b/dunehold/coordination/users/served.py
@@ -14,10 +14,10 @@
 
 from dunehold.bookkeeping.records import JobRecord
 from dunehold.bookkeeping.view import View
-from dunehold.coordination.picture.aims import finish_limit
+from dunehold.coordination.planning.objectives import completion_target_s
 from dunehold.protocol.users import JobSpec
 from dunehold.settings import Settings
-from dunehold.types import JobId, JobPhase, Kind, Team
+from dunehold.types import JobId, JobKind, JobPhase, Team
 
 
 @dataclass(slots=True)
@@ -51,7 +51,7 @@
     def __post_init__(self) -> None:
         self.began_at = self.wall()
 
-    def note(self, touched: Iterable[JobId]) -> None:
+    def record_changes(self, touched: Iterable[JobId]) -> None:
         """Jobs that have changed in the view."""
         for job in touched:
             record = self.view.jobs.get(job)
@@ -79,28 +79,28 @@
             return
         tally.jobs += 1
         tally.done += 1
-        tally.cpu_s += _work(spec)
-        tally.served_cpu_s += _work(spec)
-        waited_s = record.wanted_at - record.accepted_at
-        limits = [finish_limit(aim, spec, waited_s) for aim in self.settings.objectives]
+        tally.cpu_s += _estimated_cpu_s(spec)
+        tally.served_cpu_s += _estimated_cpu_s(spec)
+        waited_s = record.eligible_at - record.accepted_at
+        limits = [completion_target_s(aim, spec, waited_s) for aim in self.settings.objectives]
         known = [limit for limit in limits if limit is not None]
         if known:
             tally.timed += 1
-            tally.in_time += self.wall() - record.wanted_at <= min(known)
+            tally.in_time += self.wall() - record.eligible_at <= min(known)
 
-    def picture(self) -> dict[str, Any]:
+    def summary(self) -> dict[str, Any]:
         """As operators are answered: by class and team, jobs under way included."""
         classes = {name: _copy(tally) for name, tally in self.classes.items()}
         teams = {name: _copy(tally) for name, tally in self.teams.items()}
         for job, spec in self._open.items():
             record = self.view.active.get(job)
-            if record is None or spec.kind is Kind.SERVICE:
+            if record is None or spec.kind is JobKind.SERVICE:
                 continue  # a service is never done: it is up, or it is not
             part = record.done_count() / max(1, record.tasks)
             for tally in self._tallies(spec, classes, teams):
                 tally.jobs += 1
-                tally.cpu_s += _work(spec)
-                tally.served_cpu_s += part * _work(spec)
+                tally.cpu_s += _estimated_cpu_s(spec)
+                tally.served_cpu_s += part * _estimated_cpu_s(spec)
         return {
             "since_s": round(self.wall() - self.began_at, 1),
             "classes": {name: _row(tally) for name, tally in sorted(classes.items())},
@@ -108,13 +108,13 @@
             "zones": {zone: record.condition for zone, record in self.view.zones.items()},
         }
 
-    def in_time(self) -> dict[Team, tuple[int, int]]:
+    def on_time_by_team(self) -> dict[Team, tuple[int, int]]:
         """Of each team: jobs done within their aims, and those done that had one."""
         return {Team(name): (row.in_time, row.timed) for name, row in self.teams.items()}
 
-    def line(self) -> str:
+    def summary_line(self) -> str:
         """For the log: each class's and team's share of the work asked for."""
-        found = self.picture()
+        found = self.summary()
         parts = [
             f"{name} {row['done']}/{row['jobs']} jobs, {row['share']:.2f} of the work"
             for group in ("classes", "teams")
@@ -123,7 +123,7 @@
         return "; ".join(parts)
 
 
-def _work(spec: JobSpec) -> float:
+def _estimated_cpu_s(spec: JobSpec) -> float:
     return spec.tasks * spec.need.cpus * spec.estimate_s
 
 
--- a/dunehold/coordination/zones/health.py
+++ b/dunehold/coordination/zones/health.py
@@ -19,17 +19,17 @@
 
 from dataclasses import dataclass, field
 
-from dunehold.types import Condition, MonotonicTime
+from dunehold.types import MonotonicTime, ZoneCondition
 
 SILENT_SHARE = 0.6  # of a kind's machines: so many silent at once, and the kind is
 TRUSTED_SHARE = 0.5  # of the machines there are heard: it is back
-MOST_TRUST_S = 120.0
-FORGIVEN_S = 600.0  # without a flap, and the ones before count no more
-MOST_FLAPS = 8
+MAX_TRUST_DELAY_S = 120.0
+FLAP_RESET_S = 600.0  # without a flap, and the ones before count no more
+MAX_FLAPS = 8
 
 
 @dataclass(frozen=True, slots=True)
-class Kind:
+class KindCounts:
     """Machines of one type, spot or not, that were up in a zone: all, and those heard."""
 
     machines: int
@@ -44,7 +44,7 @@
 class Evidence:
     """What was heard of one zone lately. ``reached`` is None if nobody was asked."""
 
-    kinds: tuple[Kind, ...]
+    kinds: tuple[KindCounts, ...]
     others_heard: bool  # machines of other zones are heard as usual
     controllers: int = 0
     reached: int | None = None
@@ -62,7 +62,7 @@
         return bool(self.kinds) and all(kind.silent for kind in self.kinds)
 
     @property
-    def witnessed(self) -> bool:
+    def corroborated(self) -> bool:
         """Does anything but one kind of machine say so? Without controllers there, or with
         all of them silent, nothing speaks against it."""
         if len(self.kinds) > 1 or not self.controllers:
@@ -76,56 +76,58 @@
 
     confirm_s: float
     trust_s: float
-    condition: Condition = Condition.WELL
+    condition: ZoneCondition = ZoneCondition.HEALTHY
     since: MonotonicTime = MonotonicTime(-1e9)
     flaps: int = 0
     size: int = 0  # machines that were up when it was last well
     _flapped_at: MonotonicTime = field(default=MonotonicTime(-1e9))
 
     @property
-    def patience_s(self) -> float:
+    def trust_delay_s(self) -> float:
         """How long it must be heard before it is trusted."""
-        return float(min(MOST_TRUST_S, self.trust_s * 2**self.flaps))
+        return float(min(MAX_TRUST_DELAY_S, self.trust_s * 2**self.flaps))
 
-    def restore(self, condition: Condition, flaps: int, size: int, now: MonotonicTime) -> None:
+    def restore(
+        self, condition: ZoneCondition, flaps: int, size: int, now: MonotonicTime
+    ) -> None:
         """As a leader before left it; its moments are of another clock."""
-        self.condition, self.flaps, self.size = condition, min(flaps, MOST_FLAPS), size
+        self.condition, self.flaps, self.size = condition, min(flaps, MAX_FLAPS), size
         self.since = self._flapped_at = now
 
-    def step(self, seen: Evidence, now: MonotonicTime) -> bool:
+    def update(self, seen: Evidence, now: MonotonicTime) -> bool:
         """Take the evidence in; true if the condition changed."""
-        if self.flaps and now - self._flapped_at > FORGIVEN_S:
+        if self.flaps and now - self._flapped_at > FLAP_RESET_S:
             self.flaps = 0
-        after = self._after(seen, now)
-        if self.condition is Condition.WELL and after is Condition.WELL:
+        after = self._next_condition(seen, now)
+        if self.condition is ZoneCondition.HEALTHY and after is ZoneCondition.HEALTHY:
             self.size = seen.machines
         if after is self.condition:
             return False
-        if after is Condition.LOST and self.condition is Condition.RETURNING:
-            self.flaps = min(self.flaps + 1, MOST_FLAPS)
+        if after is ZoneCondition.LOST and self.condition is ZoneCondition.RECOVERING:
+            self.flaps = min(self.flaps + 1, MAX_FLAPS)
             self._flapped_at = now
         self.condition, self.since = after, now
         return True
 
-    def _after(self, seen: Evidence, now: MonotonicTime) -> Condition:
+    def _next_condition(self, seen: Evidence, now: MonotonicTime) -> ZoneCondition:
         silent = seen.silent and seen.others_heard
         lasted = now - self.since
-        if self.condition is Condition.WELL:
-            return Condition.DOUBTFUL if silent else Condition.WELL
-        if self.condition is Condition.DOUBTFUL:
+        if self.condition is ZoneCondition.HEALTHY:
+            return ZoneCondition.SUSPECT if silent else ZoneCondition.HEALTHY
+        if self.condition is ZoneCondition.SUSPECT:
             if not seen.silent:
-                return Condition.WELL
+                return ZoneCondition.HEALTHY
             if not seen.others_heard:
                 self.since = now  # nobody is heard: this says nothing of the zone
-                return Condition.DOUBTFUL
-            sure = lasted >= self.confirm_s and seen.witnessed
-            return Condition.LOST if sure else Condition.DOUBTFUL
-        if self.condition is Condition.LOST:
+                return ZoneCondition.SUSPECT
+            sure = lasted >= self.confirm_s and seen.corroborated
+            return ZoneCondition.LOST if sure else ZoneCondition.SUSPECT
+        if self.condition is ZoneCondition.LOST:
             answered = not seen.machines and bool(seen.reached)
-            return Condition.RETURNING if seen.heard or answered else Condition.LOST
+            return ZoneCondition.RECOVERING if seen.heard or answered else ZoneCondition.LOST
         if silent or (not seen.machines and seen.reached == 0):
-            return Condition.LOST
+            return ZoneCondition.LOST
         trusted = seen.heard > 0 and seen.heard >= TRUSTED_SHARE * seen.machines
-        if lasted >= self.patience_s and trusted:
-            return Condition.WELL
-        return Condition.RETURNING
+        if lasted >= self.trust_delay_s and trusted:
+            return ZoneCondition.HEALTHY
+        return ZoneCondition.RECOVERING
--- a/dunehold/coordination/zones/watch.py
+++ b/dunehold/coordination/zones/monitor.py
@@ -14,59 +14,79 @@
 from dunehold.bookkeeping.hosts import NEVER_HEARD, Host
 from dunehold.bookkeeping.ledger import Ledger
 from dunehold.bookkeeping.records import ZoneRecord
-from dunehold.coordination.zones.health import Evidence, Kind, ZoneHealth
+from dunehold.coordination.zones.health import Evidence, KindCounts, ZoneHealth
 from dunehold.protocol.cloud import MachineType
 from dunehold.settings import Settings
-from dunehold.types import MANY, Condition, HostId, MonotonicTime, NodeId, TypeName, Zone
+from dunehold.types import (
+    UNBOUNDED,
+    HostId,
+    MonotonicTime,
+    NodeId,
+    TypeName,
+    Zone,
+    ZoneCondition,
+)
 
 log = logging.getLogger(__name__)
 
-ASK_S = 2.0  # between questions to the controllers of a zone that is not well
-CONFIRM_REPORTS = 1.0  # how many report intervals doubt must last
-TRUST_REPORTS = 1.0
-WATCHERS = 2  # silent machines that are kept, to hear of the return
-FIRST_PROBE_S, MOST_PROBE_S = 30.0, 300.0  # between probes, where no machine is left to hear
-STEP_SHARE, LEAST_STEP = 0.1, 4  # of its former size, rented before a zone is trusted
-YIELD_RATIO = 1.5  # times the machines heard: a zone that works on without us takes the lead
-FLAP_PENALTY_S, MOST_PENALTY_S = 15.0, 60.0  # of machines in a zone that flaps
+PEER_POLL_INTERVAL_S = 2.0  # between questions to the controllers of a zone that is not well
+CONFIRM_REPORT_INTERVALS = 1.0  # how many report intervals doubt must last
+TRUST_REPORT_INTERVALS = 1.0
+SENTINELS_PER_ZONE = 2  # silent machines that are kept, to hear of the return
+MIN_PROBE_INTERVAL_S, MAX_PROBE_INTERVAL_S = (
+    30.0,
+    300.0,
+)  # between probes, where no machine is left to hear
+RAMP_STEP_SHARE, MIN_RAMP_STEP_HOSTS = (
+    0.1,
+    4,
+)  # of its former size, rented before a zone is trusted
+HANDOVER_SIZE_RATIO = (
+    1.5  # times the machines heard: a zone that works on without us takes the lead
+)
+FLAP_PENALTY_S, MAX_FLAP_PENALTY_S = 15.0, 60.0  # of machines in a zone that flaps
 
 
 @dataclass(slots=True)
 class _Probe:
-    gap_s: float = FIRST_PROBE_S
+    gap_s: float = MIN_PROBE_INTERVAL_S
     next_at: MonotonicTime = MonotonicTime(-1e9)
 
 
 @dataclass(slots=True)
-class ZoneWatch:
+class ZoneMonitor:
     settings: Settings
     ledger: Ledger
     types: dict[TypeName, MachineType]
     reaches: Callable[[NodeId], Awaitable[bool]]
-    silent_s: float  # so long without a report, and a machine is silent
-    on_record: Callable[[dict[Zone, ZoneRecord]], None]
+    report_timeout_s: float  # so long without a report, and a machine is silent
+    persist_records: Callable[[dict[Zone, ZoneRecord]], None]
     zones: dict[Zone, ZoneHealth] = field(default_factory=dict)
-    watchers: set[HostId] = field(default_factory=set)
-    _reached: dict[Zone, int] = field(default_factory=dict)
+    sentinels: set[HostId] = field(default_factory=set)
+    _reachable_peers: dict[Zone, int] = field(default_factory=dict)
     _probes: dict[Zone, _Probe] = field(default_factory=dict)
 
     def __post_init__(self) -> None:
         report_s = self.settings.report_s
         for zone in self.settings.zones:
-            self.zones[zone] = ZoneHealth(CONFIRM_REPORTS * report_s, TRUST_REPORTS * report_s)
+            self.zones[zone] = ZoneHealth(
+                CONFIRM_REPORT_INTERVALS * report_s, TRUST_REPORT_INTERVALS * report_s
+            )
 
     def restore(self, found: dict[Zone, ZoneRecord], now: MonotonicTime) -> None:
         """Begin with what the leader before knew: it is not learnt by a wave of rentals."""
         for zone, record in found.items():
             if zone in self.zones:
-                self.zones[zone].restore(record.condition, record.flaps, record.size, now)
+                self.zones[zone].restore(
+                    record.condition, record.flaps, record.healthy_host_count, now
+                )
                 log.info("zone %s is %s by record", zone, record.condition.value)
 
     # -- judging -------------------------------------------------------------------------
 
-    def step(self, now: MonotonicTime, attentive_since: MonotonicTime) -> set[Zone]:
+    def evaluate(self, now: MonotonicTime, attentive_since: MonotonicTime) -> set[Zone]:
         """Judge every zone anew; those whose condition changed."""
-        if now - attentive_since <= self.silent_s:
+        if now - attentive_since <= self.report_timeout_s:
             return set()  # this node itself heard nobody: it can't tell yet
         seen = self._evidence(now)
         heard = {zone for zone, one in seen.items() if 0 < one.machines <= 2 * one.heard}
@@ -74,7 +94,7 @@
         for zone, health in self.zones.items():
             judged = replace(seen[zone], others_heard=bool(heard - {zone}))
             before = health.condition
-            if health.step(judged, now):
+            if health.update(judged, now):
                 changed.add(zone)
                 log.info(
                     "zone %s is %s, was %s: %d of %d machines heard, %s of %d controllers",
@@ -86,19 +106,19 @@
                     "?" if judged.reached is None else judged.reached,
                     judged.controllers,
                 )
-                if health.condition is not Condition.LOST:
+                if health.condition is not ZoneCondition.LOST:
                     self._probes.pop(zone, None)
         if changed:
-            self.on_record(self.records())
-        self._choose_watchers()
+            self.persist_records(self.records())
+        self._choose_sentinels()
         return changed
 
     def _evidence(self, now: MonotonicTime) -> dict[Zone, Evidence]:
         counts: dict[Zone, dict[tuple[TypeName, bool], list[int]]] = {}
         for host in self.ledger.hosts.values():
-            if host.deleting or host.notice_at is not None or host.zone not in self.zones:
+            if host.deleting or host.reclaim_at is not None or host.zone not in self.zones:
                 continue
-            heard = now - host.spoke_at <= self.silent_s
+            heard = now - host.last_heard_at <= self.report_timeout_s
             if not heard and not self._should_be_heard(host, now):
                 continue
             count = counts.setdefault(host.zone, {}).setdefault((host.type, host.spot), [0, 0])
@@ -109,65 +129,66 @@
             peers[peer.zone] = peers.get(peer.zone, 0) + 1
         return {
             zone: Evidence(
-                tuple(Kind(*count) for count in counts.get(zone, {}).values()),
+                tuple(KindCounts(*count) for count in counts.get(zone, {}).values()),
                 False,
                 peers.get(zone, 0),
-                self._reached.get(zone),
+                self._reachable_peers.get(zone),
             )
             for zone in self.zones
         }
 
     def _should_be_heard(self, host: Host, now: MonotonicTime) -> bool:
         """Silent, and long enough to say something of its zone."""
-        if host.spoke_at > NEVER_HEARD:
+        if host.last_heard_at > NEVER_HEARD:
             return True
         if host.created_at == self.ledger.took_over_at:
             # On record, but never heard: not yet, or it is not to be heard.
-            return self.lost(host.zone) or now - host.created_at > 2 * self.silent_s
+            return self.is_lost(host.zone) or now - host.created_at > 2 * self.report_timeout_s
         # Rented into a zone that is not well: what does not come up speaks against it.
-        if self.zones[host.zone].condition is Condition.WELL:
+        if self.zones[host.zone].condition is ZoneCondition.HEALTHY:
             return False
         kind = self.types.get(host.type)
         return kind is not None and now - host.created_at > 2 * kind.boot_s
 
-    async def ask(self) -> None:
+    async def poll_peers(self) -> None:
         """Do the controllers of zones that are not well answer? Nobody is asked otherwise."""
         while True:
-            await asyncio.sleep(ASK_S)
+            await asyncio.sleep(PEER_POLL_INTERVAL_S)
             for zone, health in self.zones.items():
-                if health.condition is Condition.WELL:
-                    self._reached.pop(zone, None)
+                if health.condition is ZoneCondition.HEALTHY:
+                    self._reachable_peers.pop(zone, None)
                     continue
                 names = [peer.name for peer in self.settings.peers if peer.zone == zone]
                 answers = await asyncio.gather(*(self.reaches(name) for name in names))
-                self._reached[zone] = sum(answers)
+                self._reachable_peers[zone] = sum(answers)
 
     def records(self) -> dict[Zone, ZoneRecord]:
         """What a next leader should begin with: nothing of zones that are and were well."""
         return {
             zone: ZoneRecord(health.condition, health.flaps, health.size)
             for zone, health in self.zones.items()
-            if health.condition in (Condition.LOST, Condition.RETURNING) or health.flaps
+            if health.condition in (ZoneCondition.LOST, ZoneCondition.RECOVERING)
+            or health.flaps
         }
 
     # -- what follows from it --------------------------------------------------------------
 
-    def condition(self, zone: Zone) -> Condition:
+    def condition(self, zone: Zone) -> ZoneCondition:
         health = self.zones.get(zone)
-        return health.condition if health is not None else Condition.WELL
+        return health.condition if health is not None else ZoneCondition.HEALTHY
 
-    def lost(self, zone: Zone) -> bool:
-        return self.condition(zone) is Condition.LOST
+    def is_lost(self, zone: Zone) -> bool:
+        return self.condition(zone) is ZoneCondition.LOST
 
     @property
     def any_lost(self) -> bool:
-        return any(health.condition is Condition.LOST for health in self.zones.values())
+        return any(health.condition is ZoneCondition.LOST for health in self.zones.values())
 
-    def fed(self, zone: Zone, now: MonotonicTime) -> bool:
+    def is_relayed(self, zone: Zone, now: MonotonicTime) -> bool:
         """A node there feeds its workers, which go on with what they have."""
-        return now < self.ledger.relayed.get(zone, MonotonicTime(-1e9))
+        return now < self.ledger.relayed_until.get(zone, MonotonicTime(-1e9))
 
-    def larger_side(self, now: MonotonicTime) -> Zone | None:
+    def preferred_leader_zone(self, now: MonotonicTime) -> Zone | None:
         """A zone beyond a partition with so many more machines that the lead belongs there.
 
         A node there feeds its workers, so it reaches the state service and can lead; all that
@@ -175,83 +196,88 @@
         the lead would go with it; and only by a loss that this leader saw itself, from a zone
         that is there: one that takes over there finds the zone lost by record.
         """
-        if self.lost(self.settings.zone):
+        if self.is_lost(self.settings.zone):
             return None
-        saw_since = self.ledger.took_over_at + self.silent_s
+        saw_since = self.ledger.took_over_at + self.report_timeout_s
         heard = sum(
-            now - host.spoke_at <= self.silent_s and not self.lost(host.zone)
+            now - host.last_heard_at <= self.report_timeout_s and not self.is_lost(host.zone)
             for host in self.ledger.hosts.values()
         )
         nodes = {peer.zone for peer in self.settings.peers}
         for zone, health in self.zones.items():
             if (
-                health.condition is Condition.LOST
+                health.condition is ZoneCondition.LOST
                 and not health.flaps
                 and health.since > saw_since
                 and zone in nodes
-                and self.fed(zone, now)
-                and health.size > YIELD_RATIO * max(heard, 1)
+                and self.is_relayed(zone, now)
+                and health.size > HANDOVER_SIZE_RATIO * max(heard, 1)
             ):
                 return zone
         return None
 
-    def written_off(self, host: Host) -> bool:
+    def presumed_lost(self, host: Host) -> bool:
         """Not counted on when machines are rented: it is silent in a lost zone."""
-        return not host.known and self.lost(host.zone)
+        return not host.session_known and self.is_lost(host.zone)
 
     def penalty_s(self, zone: Zone) -> float:
         """What a start there costs in the order of machines: work may be lost once more."""
         health = self.zones.get(zone)
-        if health is None or health.condition is Condition.WELL:
+        if health is None or health.condition is ZoneCondition.HEALTHY:
             return 0.0
-        return min(MOST_PENALTY_S, FLAP_PENALTY_S * health.flaps)
+        return min(MAX_FLAP_PENALTY_S, FLAP_PENALTY_S * health.flaps)
 
-    def may_rent(self, zone: Zone) -> int:
+    def rent_limit(self, zone: Zone) -> int:
         """How many machines may be rented there now, probes aside."""
         health = self.zones.get(zone)
-        if health is None or health.condition is Condition.WELL:
-            return MANY
-        if health.condition is not Condition.RETURNING:
+        if health is None or health.condition is ZoneCondition.HEALTHY:
+            return UNBOUNDED
+        if health.condition is not ZoneCondition.RECOVERING:
             return 0
-        step = max(LEAST_STEP, int(STEP_SHARE * health.size))
+        step = max(MIN_RAMP_STEP_HOSTS, int(RAMP_STEP_SHARE * health.size))
         coming = sum(
-            host.zone == zone and not host.up and host.fed_at is None and not host.deleting
+            host.zone == zone
+            and not host.up
+            and host.lease_renewed_at is None
+            and not host.deleting
             for host in self.ledger.hosts.values()
         )
         return max(0, step - coming)
 
     def rentable(self, zone: Zone) -> bool:
         """May machines be rented there at all, if only in steps?"""
-        return self.condition(zone) in (Condition.WELL, Condition.RETURNING)
+        return self.condition(zone) in (ZoneCondition.HEALTHY, ZoneCondition.RECOVERING)
 
-    def probes(self, now: MonotonicTime) -> list[Zone]:
+    def zones_to_probe(self, now: MonotonicTime) -> list[Zone]:
         """Lost zones in which a machine is to be rented, ever more seldom, to hear of the
         return: those where none is left that could tell of it."""
         due = []
         for zone, health in self.zones.items():
-            if health.condition is not Condition.LOST:
+            if health.condition is not ZoneCondition.LOST:
                 continue
             if any(h.zone == zone and not h.deleting for h in self.ledger.hosts.values()):
                 continue
             probe = self._probes.setdefault(zone, _Probe())
             if now >= probe.next_at:
                 probe.next_at = MonotonicTime(now + probe.gap_s)
-                probe.gap_s = min(MOST_PROBE_S, 2 * probe.gap_s)
+                probe.gap_s = min(MAX_PROBE_INTERVAL_S, 2 * probe.gap_s)
                 due.append(zone)
         return due
 
-    def _choose_watchers(self) -> None:
+    def _choose_sentinels(self) -> None:
         """In every lost zone a few machines stay, though they are silent."""
         hosts = self.ledger.hosts
-        self.watchers = {
+        self.sentinels = {
             name
-            for name in self.watchers
-            if name in hosts and not hosts[name].deleting and self.lost(hosts[name].zone)
+            for name in self.sentinels
+            if name in hosts and not hosts[name].deleting and self.is_lost(hosts[name].zone)
         }
         for zone, health in self.zones.items():
-            if health.condition is not Condition.LOST:
+            if health.condition is not ZoneCondition.LOST:
                 continue
-            wanted = WATCHERS - sum(hosts[name].zone == zone for name in self.watchers)
+            wanted = SENTINELS_PER_ZONE - sum(
+                hosts[name].zone == zone for name in self.sentinels
+            )
             if wanted <= 0:
                 continue
             silent = [
@@ -259,18 +285,18 @@
                 for host in hosts.values()
                 if host.zone == zone
                 and not host.deleting
-                and host.notice_at is None
-                and host.id not in self.watchers
+                and host.reclaim_at is None
+                and host.id not in self.sentinels
             ]
-            silent.sort(key=self._as_watcher)
-            self.watchers |= {host.id for host in silent[:wanted]}
+            silent.sort(key=self._sentinel_order)
+            self.sentinels |= {host.id for host in silent[:wanted]}
 
-    def _as_watcher(self, host: Host) -> tuple[bool, bool, float, HostId]:
+    def _sentinel_order(self, host: Host) -> tuple[bool, bool, float, HostId]:
         """Ordinary machines that were up are not taken back, and can speak at once."""
-        return host.spoke_at <= NEVER_HEARD, host.spot, self._price(host), host.id
+        return host.last_heard_at <= NEVER_HEARD, host.spot, self._price(host), host.id
 
     def _price(self, host: Host) -> float:
         kind = self.types.get(host.type)
         if kind is None:
-            return float(MANY)
+            return float(UNBOUNDED)
         return kind.spot_price if host.spot else kind.price
--- a/dunehold/coordination/zones/evacuation.py
+++ b/dunehold/coordination/zones/urgency.py
@@ -19,14 +19,14 @@
     """Lower goes first."""
 
     DOWN = 0
-    THIN = 1
-    PLAIN = 2
+    DEGRADED = 1
+    NORMAL = 2
 
 
 def urgency(service: bool, replicas: int, up: int) -> Urgency:
     """Of a job with so many replicas wanted, and so many that are or may be up."""
     if not service:
-        return Urgency.PLAIN
+        return Urgency.NORMAL
     if up <= 0:
         return Urgency.DOWN
-    return Urgency.THIN if 2 * up < replicas else Urgency.PLAIN
+    return Urgency.DEGRADED if 2 * up < replicas else Urgency.NORMAL
--- a/dunehold/emulator/commands.py
+++ b/dunehold/emulator/commands.py
@@ -22,7 +22,7 @@
 from dunehold.emulator.serve.control import FAULTS, JOBS, Control
 from dunehold.emulator.serve.places import Places
 from dunehold.emulator.serve.play import Player, text
-from dunehold.transport.http import HttpClient, NoResponse, split_address
+from dunehold.transport.http import HttpClient, NoResponse, parse_address
 
 EXIT_FAILED, EXIT_USAGE = 1, 2
 FIRST_JOB = {
@@ -246,7 +246,7 @@
 
 
 def _post(place: str, path: str, body: bytes) -> int:
-    address = split_address(place)
+    address = parse_address(place)
     if address is None:
         print(f"dunehold: {place}: must be HOST:PORT", file=sys.stderr)
         return EXIT_USAGE
--- a/dunehold/emulator/serve/play.py
+++ b/dunehold/emulator/serve/play.py
@@ -46,7 +46,7 @@
     ) -> tuple[int, bytes, float]:
         client = HttpClient(self.place.host, self.place.port, 1)
         try:
-            return await client.ask(method, path, body, timeout_s)
+            return await client.request_with_retry_after(method, path, body, timeout_s)
         finally:
             client.close()
 
--- a/dunehold/operating.py
+++ b/dunehold/operator_commands.py
@@ -14,14 +14,14 @@
 from dunehold.protocol import codec, operators
 from dunehold.protocol.codec import BadMessage
 from dunehold.protocol.operators import Order
-from dunehold.transport.http import HttpClient, NoResponse, split_address
+from dunehold.transport.http import HttpClient, NoResponse, parse_address
 from dunehold.types import OrderId
 
-CHANGES = {"undrain": "abort", "abort": "abort", "pause": "pause", "resume": "resume"}
-COMMANDS = ("drain", "replace", *CHANGES, "orders", "show")
+ACTION_BY_COMMAND = {"undrain": "abort", "abort": "abort", "pause": "pause", "resume": "resume"}
+COMMANDS = ("drain", "replace", *ACTION_BY_COMMAND, "orders", "show")
 EXIT_FAILED, EXIT_USAGE = 1, 2
 TIMEOUT_S = 5.0
-UNITS = {"s": 1.0, "m": 60.0, "h": 3600.0, "d": 86400.0}
+UNIT_SECONDS = {"s": 1.0, "m": 60.0, "h": 3600.0, "d": 86400.0}
 
 
 def add_parsers(commands: Any) -> None:
@@ -74,18 +74,18 @@
     command.add_argument("--id", help="names the order, so that it can be sent again safely")
 
 
-def span_s(text: str) -> float:
+def parse_duration_s(text: str) -> float:
     """``90``, ``90s``, ``15m``, ``2h``, ``1d``; ValueError for anything else."""
     found = re.fullmatch(r"(\d+(?:\.\d+)?)([smhd]?)", text)
     if found is None:
         raise ValueError(f"{text}: not a span of time such as 90s, 15m or 2h")
-    return float(found[1]) * UNITS[found[2] or "s"]
+    return float(found[1]) * UNIT_SECONDS[found[2] or "s"]
 
 
-def moment_s(text: str, now: float) -> float:
+def parse_time_s(text: str, now: float) -> float:
     """``+15m`` from now, or seconds since the epoch."""
     if text.startswith("+"):
-        return round(now + span_s(text[1:]), 3)
+        return round(now + parse_duration_s(text[1:]), 3)
     if re.fullmatch(r"\d{9,}(\.\d+)?", text) is None:
         raise ValueError(f"{text}: not a time such as +15m, or seconds since the epoch")
     return float(text)
@@ -98,7 +98,7 @@
     return float(found[1]) / (100.0 if found[2] else 1.0)
 
 
-def request_of(options: argparse.Namespace, now: float) -> Order:
+def build_order(options: argparse.Namespace, now: float) -> Order:
     """ValueError or BadMessage with one line that says what is wrong."""
     row: dict[str, Any] = {
         "kind": options.command,
@@ -109,31 +109,31 @@
         "reason": options.reason or None,
     }
     if options.older is not None:
-        row["older_s"] = span_s(options.older)
+        row["older_s"] = parse_duration_s(options.older)
     if options.share is not None:
         row["share"] = _share(options.share)
     if options.command == "drain":
         row["keep"] = options.keep
         for key, text in (("from", options.begins), ("by", options.by)):
-            row[key] = None if text is None else moment_s(text, now)
+            row[key] = None if text is None else parse_time_s(text, now)
     else:
         row["to"] = options.to
-        row["within_s"] = None if options.within is None else span_s(options.within)
+        row["within_s"] = None if options.within is None else parse_duration_s(options.within)
     name = options.id or f"{options.command}-{secrets.token_hex(4)}"
     if not operators.valid_order_id(name):
         raise ValueError(f"{name}: not an order's id: letters, digits, - and _")
-    return operators.read_order(OrderId(name), row)
+    return operators.decode_order_fields(OrderId(name), row)
 
 
 def run(options: argparse.Namespace) -> int:
-    address = split_address(options.server)
+    address = parse_address(options.server)
     if address is None:
         return _usage("--server: must be HOST:PORT")
     body: bytes | None = None
     method, target = "GET", operators.ORDERS_PATH
     if options.command in ("drain", "replace"):
         try:
-            order = request_of(options, time.time())
+            order = build_order(options, time.time())
         except (ValueError, BadMessage) as error:
             return _usage(str(error))
         method, body = "POST", operators.encode_request(order, options.seen)
@@ -141,8 +141,8 @@
         if not operators.valid_order_id(options.order):
             return _usage(f"{options.order}: not an order's id")
         target += f"/{options.order}"
-        if options.command in CHANGES:
-            method, target = "POST", f"{target}/{CHANGES[options.command]}"
+        if options.command in ACTION_BY_COMMAND:
+            method, target = "POST", f"{target}/{ACTION_BY_COMMAND[options.command]}"
             body = codec.dump({} if options.seen is None else {"seen": options.seen})
     client = HttpClient(*address)
     try:
@@ -162,9 +162,9 @@
     if options.json:
         print(data.decode("utf-8", "replace"))
     elif options.command == "orders":
-        print(report.orders(row))
+        print(report.format_orders(row))
     else:
-        print(report.order(row, time.time()))
+        print(report.format_order(row, time.time()))
     return 0
 
 
--- a/dunehold/protocol/cloud.py
+++ b/dunehold/protocol/cloud.py
@@ -7,17 +7,17 @@
 
 from dunehold.protocol import codec
 from dunehold.protocol.codec import BadMessage
-from dunehold.transport.budget import Budget
 from dunehold.transport.http import Client
-from dunehold.types import Duration, HostId, RentalId, Room, TypeName, Zone
+from dunehold.transport.rate_limiter import RateLimiter
+from dunehold.types import Duration, HostId, RentalId, Resources, TypeName, Zone
 
-MAX_RENT = 50
-MAX_DELETE = 100
-MAX_LIST = 500
+MAX_MACHINES_PER_RENTAL = 50
+MAX_MACHINES_PER_DELETE = 100
+MAX_MACHINES_PER_PAGE = 500
 TIMEOUT_S = 10.0
 
 
-class CloudTrouble(Exception):
+class CloudUnavailable(Exception):
     """The cloud did not do it, for now."""
 
 
@@ -34,7 +34,7 @@
 @dataclass(frozen=True, slots=True)
 class MachineType:
     name: TypeName
-    room: Room
+    capacity: Resources
     cache_gb: float
     fetch_gb_per_s: float
     price: float
@@ -51,11 +51,11 @@
     type: TypeName
     zone: Zone
     spot: bool
-    number: int
+    count: int
 
 
 @dataclass(frozen=True, slots=True)
-class Listed:
+class ListedMachine:
     host: HostId
     address: str
     type: TypeName
@@ -68,10 +68,10 @@
 @dataclass(slots=True)
 class CloudClient:
     client: Client
-    budget: Budget
+    rate_limiter: RateLimiter
 
     async def _call(self, method: str, target: str, body: bytes | None, priority: int) -> bytes:
-        await self.budget.take(priority)
+        await self.rate_limiter.acquire(priority)
         status, data = await self.client.request(method, target, body, TIMEOUT_S)
         if status == 200:
             return data
@@ -82,7 +82,7 @@
                 error = None
             if error == "no capacity":
                 raise NoCapacity
-        raise CloudTrouble(f"{target}: status {status}")
+        raise CloudUnavailable(f"{target}: status {status}")
 
     async def machine_types(self) -> dict[TypeName, MachineType]:
         row = codec.load_object(await self._call("GET", "/flavors", None, 1))
@@ -95,7 +95,7 @@
                 raise BadMessage("halls must be a list")
             types[name] = MachineType(
                 name,
-                Room(codec.amount(item, "vcpus"), gpus, codec.amount(item, "memory_gb")),
+                Resources(codec.amount(item, "vcpus"), gpus, codec.amount(item, "memory_gb")),
                 codec.opt_amount(item, "cache_gb") or 0.0,
                 max(codec.opt_amount(item, "fetch_gb_per_s") or 1.0, 0.001),
                 codec.opt_amount(item, "price") or 0.0,
@@ -111,7 +111,7 @@
             "flavour": rental.type,
             "hall": rental.zone,
             "loaner": rental.spot,
-            "number": rental.number,
+            "number": rental.count,
         }
         data = await self._call("POST", "/hosts", codec.dump(body), 2)
         hosts = codec.load_object(data).get("hosts")
@@ -122,16 +122,18 @@
     async def delete(self, hosts: list[HostId]) -> None:
         await self._call("POST", "/hosts/delete", codec.dump({"hosts": hosts}), 0)
 
-    async def machines(self) -> list[Listed]:
-        found: list[Listed] = []
+    async def list_machines(self) -> list[ListedMachine]:
+        found: list[ListedMachine] = []
         after = ""
         while True:
-            target = f"/hosts?most={MAX_LIST}" + (f"&after={after}" if after else "")
+            target = f"/hosts?most={MAX_MACHINES_PER_PAGE}" + (
+                f"&after={after}" if after else ""
+            )
             row = codec.load_object(await self._call("GET", target, None, 3))
             items = codec.rows(row, "hosts")
             for item in items:
                 found.append(
-                    Listed(
+                    ListedMachine(
                         HostId(codec.text(item, "uid")),
                         str(item.get("address") or ""),
                         TypeName(codec.text(item, "flavour")),
--- a/dunehold/protocol/operators.py
+++ b/dunehold/protocol/operators.py
@@ -18,8 +18,8 @@
 from dunehold.types import Duration, HostId, OrderId, Revision, TypeName, WallTime, Zone
 
 ORDERS_PATH = "/operators/orders"
-MOST_NAMES = 100  # of machines in one order: it must fit a value
-MOST_TEXT = 60  # characters of an order's id
+MAX_HOSTS = 100  # of machines in one order: it must fit a value
+MAX_ORDER_ID_CHARS = 60  # characters of an order's id
 
 
 class OrderKind(StrEnum):
@@ -27,15 +27,19 @@
     REPLACE = "replace"  # each by a fresh one, in steps
 
 
-class Wish(StrEnum):
+class DesiredState(StrEnum):
     """What the operators last wanted of an order."""
 
-    GO = "go"
+    PROCEED = "go"
     PAUSE = "pause"
     ABORT = "abort"
 
 
-ACTIONS = {"pause": Wish.PAUSE, "resume": Wish.GO, "abort": Wish.ABORT}
+ACTIONS = {
+    "pause": DesiredState.PAUSE,
+    "resume": DesiredState.PROCEED,
+    "abort": DesiredState.ABORT,
+}
 
 
 @dataclass(frozen=True, slots=True)
@@ -49,7 +53,7 @@
     older_s: float | None = None  # than this when the order was taken up
     share: float | None = None  # of them, drawn by their names
 
-    def means(self, host: HostId, type_name: TypeName, zone: Zone, spot: bool) -> bool:
+    def matches(self, host: HostId, type_name: TypeName, zone: Zone, spot: bool) -> bool:
         """Age aside, which is a name that the leader found when it took the order up."""
         if self.hosts and host not in self.hosts:
             return False
@@ -59,16 +63,16 @@
             return False
         if self.spot is not None and spot is not self.spot:
             return False
-        return self.share is None or drawn(host) < self.share
+        return self.share is None or sampling_fraction(host) < self.share
 
-    def whole(self, type_name: TypeName, zone: Zone, spot: bool) -> bool:
+    def matches_every_machine(self, type_name: TypeName, zone: Zone, spot: bool) -> bool:
         """Is every machine of that kind meant, those of the future included?"""
         if self.hosts or self.share is not None or self.older_s is not None:
             return False
-        return self.means(HostId(""), type_name, zone, spot)
+        return self.matches(HostId(""), type_name, zone, spot)
 
 
-def drawn(host: HostId) -> float:
+def sampling_fraction(host: HostId) -> float:
     """A number in [0, 1) that only the name decides, so that every leader finds the same."""
     return zlib.crc32(host.encode()) / 2**32
 
@@ -83,27 +87,27 @@
     id: OrderId
     kind: OrderKind
     selection: Selection
-    made_at: WallTime
+    created_at: WallTime
     reason: str = ""
     begins_at: WallTime | None = None
     ends_at: WallTime | None = None
-    within_s: Duration | None = None
-    to: TypeName | None = None  # the type that replaces, where it is another
-    keep: bool = False  # stay rented once they are empty
-    wish: Wish = Wish.GO
+    drain_timeout_s: Duration | None = None
+    replacement_type: TypeName | None = None  # the type that replaces, where it is another
+    keep_rented: bool = False  # stay rented once they are empty
+    desired_state: DesiredState = DesiredState.PROCEED
     version: Revision = Revision(0)  # of its key
 
-    def same_as(self, other: Order) -> bool:
+    def is_same_request(self, other: Order) -> bool:
         """Asked for alike: a repeated request, whatever has become of it since."""
-        return encode_asked(self) == encode_asked(other)
+        return encode_order_fields(self) == encode_order_fields(other)
 
 
 def valid_order_id(name: str) -> bool:
     plain = name.replace("-", "").replace("_", "")
-    return 0 < len(name) <= MOST_TEXT and plain.isascii() and plain.isalnum()
+    return 0 < len(name) <= MAX_ORDER_ID_CHARS and plain.isascii() and plain.isalnum()
 
 
-def encode_asked(order: Order) -> dict[str, Any]:
+def encode_order_fields(order: Order) -> dict[str, Any]:
     chosen = order.selection
     row: dict[str, Any] = {
         "kind": order.kind.value,
@@ -116,33 +120,33 @@
         "reason": order.reason,
         "from": order.begins_at,
         "by": order.ends_at,
-        "within_s": order.within_s,
-        "to": order.to,
-        "keep": order.keep or None,
+        "within_s": order.drain_timeout_s,
+        "to": order.replacement_type,
+        "keep": order.keep_rented or None,
     }
     return {key: value for key, value in row.items() if value not in (None, [], "")}
 
 
-def read_order(order: OrderId, row: Mapping[str, Any]) -> Order:
+def decode_order_fields(order: OrderId, row: Mapping[str, Any]) -> Order:
     """From the fields of an operator's request or of a record; BadMessage names the field."""
     given = dict(row)
     try:
         kind = OrderKind(codec.text(given, "kind"))
-        wish = Wish(given.get("wish", "go"))
+        wish = DesiredState(given.get("wish", "go"))
     except ValueError:
         raise BadMessage("kind must be drain or replace") from None
     chosen = Selection(
-        tuple(HostId(name) for name in texts(given, "hosts")),
-        tuple(TypeName(name) for name in texts(given, "types")),
-        tuple(Zone(name) for name in texts(given, "zones")),
+        tuple(HostId(name) for name in decode_texts(given, "hosts")),
+        tuple(TypeName(name) for name in decode_texts(given, "types")),
+        tuple(Zone(name) for name in decode_texts(given, "zones")),
         codec.flag(given, "spot") if given.get("spot") is not None else None,
         codec.opt_amount(given, "older_s"),
         codec.opt_amount(given, "share"),
     )
     if chosen == Selection():
         raise BadMessage("no machines: name hosts, types, zones, spot, older_s or share")
-    if len(chosen.hosts) > MOST_NAMES:
-        raise BadMessage(f"hosts: at most {MOST_NAMES}; use types, zones, age or share")
+    if len(chosen.hosts) > MAX_HOSTS:
+        raise BadMessage(f"hosts: at most {MAX_HOSTS}; use types, zones, age or share")
     if chosen.share is not None and not 0 < chosen.share <= 1:
         raise BadMessage("share must be above 0 and at most 1")
     begins, ends = codec.opt_amount(given, "from"), codec.opt_amount(given, "by")
@@ -169,30 +173,30 @@
     )
 
 
-def texts(row: dict[str, Any], key: str) -> list[str]:
+def decode_texts(row: dict[str, Any], key: str) -> list[str]:
     value = row.get(key) or []
     if not isinstance(value, list) or not all(isinstance(v, str) and v for v in value):
         raise BadMessage(f"{key} must be a list of texts")
     return sorted(set(value))
 
 
-def read_request(body: bytes) -> tuple[Order, int | None]:
+def decode_request(body: bytes) -> tuple[Order, int | None]:
     """A new order and the serial that its operator saw, if it says so."""
     row = codec.load_object(body)
     name = codec.text(row, "id")
     if not valid_order_id(name):
-        raise BadMessage(f"id must be letters, digits, - and _, {MOST_TEXT} at most")
+        raise BadMessage(f"id must be letters, digits, - and _, {MAX_ORDER_ID_CHARS} at most")
     if len(codec.opt_text(row, "reason") or "") > 200:
         raise BadMessage("reason must be 200 characters at most")
-    return read_order(OrderId(name), row), read_seen(row)
+    return decode_order_fields(OrderId(name), row), decode_seen_serial(row)
 
 
-def read_seen(row: dict[str, Any]) -> int | None:
+def decode_seen_serial(row: dict[str, Any]) -> int | None:
     return None if row.get("seen") is None else codec.count(row, "seen")
 
 
 def encode_request(order: Order, seen: int | None) -> bytes:
-    row = encode_asked(order) | {"id": order.id}
+    row = encode_order_fields(order) | {"id": order.id}
     return codec.dump(row if seen is None else row | {"seen": seen})
 
 
@@ -200,7 +204,7 @@
     return codec.dump({"serial": serial, "leader": leader, "orders": rows})
 
 
-def encode_placed(row: dict[str, Any], serial: int, in_force: bool) -> bytes:
+def encode_accepted(row: dict[str, Any], serial: int, in_force: bool) -> bytes:
     """``in_force``: the leader has it, so that nothing more is begun on those machines."""
     return codec.dump(row | {"serial": serial, "in_force": in_force})
 
@@ -209,6 +213,11 @@
     return codec.dump({"error": reason, "serial": serial})
 
 
-def row_of(order: Order) -> dict[str, Any]:
-    asked = encode_asked(order)
-    return {"id": order.id, "made": order.made_at, "wish": order.wish.value, **asked}
+def encode_order_row(order: Order) -> dict[str, Any]:
+    asked = encode_order_fields(order)
+    return {
+        "id": order.id,
+        "made": order.created_at,
+        "wish": order.desired_state.value,
+        **asked,
+    }
--- a/dunehold/protocol/peers.py
+++ b/dunehold/protocol/peers.py
@@ -14,23 +14,25 @@
 from dunehold.types import JobId, Revision
 
 RUNNING_PATH = "/peer/running"
-PROOF_PATH = "/peer/proof"
+PEER_STATUS_PATH = "/peer/proof"
 SERVED_PATH = "/peer/served"  # operators ask for it
-WAITS_PATH = "/peer/waits/"  # and a job's id: what it waits for; users' commands ask
-UPKEEP_PATH = "/peer/upkeep"  # of the leader: how far it is with each order
+DEPENDENCIES_PATH = "/peer/waits/"  # and a job's id: what it waits for; users' commands ask
+MAINTENANCE_PATH = "/peer/upkeep"  # of the leader: how far it is with each order
 
 
 def encode_running(running: dict[JobId, int]) -> bytes:
     return codec.dump({"running": running})
 
 
-def encode_waits(job: JobId, waits: Iterable[JobId]) -> bytes:
+def encode_unmet_dependencies(job: JobId, waits: Iterable[JobId]) -> bytes:
     return codec.dump({"uid": job, "waits": sorted(waits)})
 
 
-async def get_waits(client: Client, job: JobId, timeout_s: float) -> list[JobId] | None:
+async def get_unmet_dependencies(
+    client: Client, job: JobId, timeout_s: float
+) -> list[JobId] | None:
     """What the job waits for; None where that controller does not know the job."""
-    status, data = await client.request("GET", WAITS_PATH + job, None, timeout_s)
+    status, data = await client.request("GET", DEPENDENCIES_PATH + job, None, timeout_s)
     if status != 200:
         return None
     waits = codec.load_object(data).get("waits")
@@ -39,34 +41,34 @@
     return [JobId(str(name)) for name in waits]
 
 
-class Sight(NamedTuple):
+class PeerStatus(NamedTuple):
     """What a node has seen lately, in seconds ago: a proof of a current view, any worker."""
 
     proof_age_s: float
     worker_age_s: float
 
 
-def encode_sight(sight: Sight) -> bytes:
-    proof, worker = (max(0.0, min(age, 1e9)) for age in sight)
+def encode_peer_status(status: PeerStatus) -> bytes:
+    proof, worker = (max(0.0, min(age, 1e9)) for age in status)
     return codec.dump({"age_s": proof, "worker_age_s": worker})
 
 
-async def get_sight(client: Client, timeout_s: float) -> Sight:
-    status, data = await client.request("GET", PROOF_PATH, None, timeout_s)
+async def get_peer_status(client: Client, timeout_s: float) -> PeerStatus:
+    status, data = await client.request("GET", PEER_STATUS_PATH, None, timeout_s)
     if status != 200:
         raise BadMessage(f"status {status}")
     row = codec.load_object(data)
     # A node that does not say when it heard a worker may hear them now.
-    return Sight(codec.amount(row, "age_s"), codec.opt_amount(row, "worker_age_s") or 0.0)
+    return PeerStatus(codec.amount(row, "age_s"), codec.opt_amount(row, "worker_age_s") or 0.0)
 
 
-def encode_upkeep(applied: Revision, status: dict[str, Any]) -> bytes:
+def encode_maintenance(applied: Revision, status: dict[str, Any]) -> bytes:
     return codec.dump({"applied": applied, "orders": status})
 
 
-async def get_upkeep(client: Client, timeout_s: float) -> tuple[Revision, dict[str, Any]]:
+async def get_maintenance(client: Client, timeout_s: float) -> tuple[Revision, dict[str, Any]]:
     """The revision that the leader's view has, and what it knows of each order."""
-    status, data = await client.request("GET", UPKEEP_PATH, None, timeout_s)
+    status, data = await client.request("GET", MAINTENANCE_PATH, None, timeout_s)
     if status != 200:
         raise BadMessage(f"status {status}")
     row = codec.load_object(data)
--- a/dunehold/protocol/state.py
+++ b/dunehold/protocol/state.py
@@ -8,8 +8,8 @@
 
 from dunehold.protocol import codec
 from dunehold.protocol.codec import BadMessage
-from dunehold.transport.budget import Budget
 from dunehold.transport.http import Client, NoResponse
+from dunehold.transport.rate_limiter import RateLimiter
 from dunehold.types import Duration, LeaseId, Revision
 
 MAX_TXN_BYTES = 60 * 1024
@@ -39,11 +39,11 @@
     """The request itself is at fault; the same one will be refused again."""
 
 
-class LeaseGone(Exception):
+class LeaseExpired(Exception):
     """The lease has ended."""
 
 
-class TooOld(Exception):
+class RevisionCompacted(Exception):
     """The changes asked for are no longer kept."""
 
 
@@ -84,7 +84,7 @@
         return not self.failed
 
 
-class Priority:
+class RequestPriority:
     """Who goes first when the budget is short: the leader's lease, then proofs.
 
     A cancellation goes before submissions: a flood of those must not keep tasks running that
@@ -103,8 +103,8 @@
 class StateClient:
     client: Client
     watch_client: Client
-    requests: Budget
-    writes: Budget
+    request_limiter: RateLimiter
+    write_limiter: RateLimiter
     timeout_s: float = 1.5
     on_limited: Callable[[], None] = lambda: None  # a rate was refused
 
@@ -116,10 +116,10 @@
         priority: int,
         timeout_s: float | None = None,
         client: Client | None = None,
-        paid: bool = False,
+        pre_acquired: bool = False,
     ) -> tuple[int, dict[str, Any]]:
-        if not paid:
-            await self.requests.take(priority)
+        if not pre_acquired:
+            await self.request_limiter.acquire(priority)
         chosen = client or self.client
         status, data = await chosen.request(method, target, body, timeout_s or self.timeout_s)
         if status == 429:
@@ -159,13 +159,13 @@
                 return found, revision
             after = found[-1].key
 
-    async def txn(self, txn: Txn, priority: int, paid: bool = False) -> TxnResult:
+    async def txn(self, txn: Txn, priority: int, pre_acquired: bool = False) -> TxnResult:
         """NoResponse: it may have been applied, or may yet be applied later.
 
         ``paid``: its changes have been taken from the budget of writes already.
         """
-        if txn.size and not paid:
-            await self.writes.take(priority, txn.size)
+        if txn.size and not pre_acquired:
+            await self.write_limiter.acquire(priority, txn.size)
         status, row = await self._call("POST", "/txn", txn.encode(), priority)
         if status == 200:
             return TxnResult(Revision(codec.count(row, "epoch")), ())
@@ -174,37 +174,46 @@
             keys = tuple(str(key) for key in failed) if isinstance(failed, list) else ("?",)
             return TxnResult(Revision(codec.count(row, "epoch")), keys or ("?",))
         if status == 400 and row.get("error") == "no such lease":
-            raise LeaseGone
+            raise LeaseExpired
         if status == 400:
             raise Malformed(f"txn: {row.get('error')}")
         raise Unavailable(f"txn: status {status} {row.get('error')}")
 
-    async def grant(self, life: Duration, priority: int) -> LeaseId:
+    async def grant_lease(self, life: Duration, priority: int) -> LeaseId:
         body = codec.dump({"life_ms": int(life * 1000)})
         status, row = await self._call("POST", "/leases", body, priority)
         if status != 200:
             raise Unavailable(f"lease: status {status}")
         return LeaseId(codec.count(row, "grant"))
 
-    async def extend(self, lease: LeaseId) -> None:
-        status, _ = await self._call("POST", f"/leases/{lease}/extend", b"{}", Priority.LEASE)
+    async def extend_lease(self, lease: LeaseId) -> None:
+        status, _ = await self._call(
+            "POST", f"/leases/{lease}/extend", b"{}", RequestPriority.LEASE
+        )
         if status == 404:
-            raise LeaseGone
+            raise LeaseExpired
         if status != 200:
             raise Unavailable(f"extend: status {status}")
 
-    async def drop_lease(self, lease: LeaseId) -> None:
-        await self._call("DELETE", f"/leases/{lease}", None, Priority.LEASE)
+    async def revoke_lease(self, lease: LeaseId) -> None:
+        await self._call("DELETE", f"/leases/{lease}", None, RequestPriority.LEASE)
 
     async def changes(
-        self, prefix: str, after: Revision, hold_s: float, priority: int, paid: bool = False
+        self,
+        prefix: str,
+        after: Revision,
+        hold_s: float,
+        priority: int,
+        pre_acquired: bool = False,
     ) -> tuple[list[Change], Revision]:
         target = f"/changes?starts={prefix}&after={after}&hold_ms={int(hold_s * 1000)}"
         client = self.watch_client if hold_s else self.client
         wait = hold_s + 5.0 if hold_s else self.timeout_s
-        status, row = await self._call("GET", target, None, priority, wait, client, paid)
+        status, row = await self._call(
+            "GET", target, None, priority, wait, client, pre_acquired
+        )
         if status == 410:
-            raise TooOld
+            raise RevisionCompacted
         if status != 200:
             raise NoResponse(f"status {status}")
         found = []
--- a/dunehold/protocol/users.py
+++ b/dunehold/protocol/users.py
@@ -12,9 +12,9 @@
     Duration,
     Image,
     JobId,
-    Kind,
+    JobKind,
     Rank,
-    Room,
+    Resources,
     Team,
     TypeName,
     Zone,
@@ -26,7 +26,7 @@
 MAX_TASKS = 100_000
 
 _JOB_ID = re.compile(r"job-[0-9]{1,18}\Z")
-_KINDS = {"batch": Kind.ARRAY, "gang": Kind.GANG, "standing": Kind.SERVICE}
+_KINDS = {"batch": JobKind.ARRAY, "gang": JobKind.GANG, "standing": JobKind.SERVICE}
 _RANKS = {
     "critical": Rank.PRODUCTION,
     "high": Rank.HIGH,
@@ -44,10 +44,10 @@
     id: JobId
     job_class: str
     team: Team
-    kind: Kind
+    kind: JobKind
     rank: Rank
     tasks: int
-    need: Room
+    need: Resources
     image: Image
     image_gb: float
     types: tuple[TypeName, ...] | None
@@ -59,7 +59,7 @@
     checkpoint_s: Duration
     save_s: Duration
     deadline_s: Duration | None
-    awaits: tuple[JobId, ...] = ()  # jobs that must be done before any task of it starts
+    dependencies: tuple[JobId, ...] = ()  # jobs that must be done before any task of it starts
 
 
 def valid_job_id(value: str) -> bool:
@@ -67,7 +67,7 @@
 
 
 # What a submission must not lack; a field that may be null may also be omitted.
-REQUIRED = (
+REQUIRED_FIELDS = (
     "uid", "jobclass", "owner", "shape", "rank", "units", "vcpus", "gpus", "memory_gb",
     "bundle", "size_gb", "together", "spread", "loaner", "expect_s", "snapshot_s", "flush_s",
 )  # fmt: skip
@@ -76,13 +76,13 @@
 def decode_job(body: bytes) -> JobSpec:
     """The submitted job; BadMessage when anything in it is malformed or missing."""
     row = codec.load_object(body)
-    for name in REQUIRED:
+    for name in REQUIRED_FIELDS:
         if row.get(name) is None:
             raise BadMessage(f"{name} is missing")
     return decode_job_object(row)
 
 
-def named_job(body: bytes) -> JobId | None:
+def decode_job_id(body: bytes) -> JobId | None:
     """The job that a submission names, however malformed the rest of it is."""
     try:
         uid = codec.load_object(body).get("uid")
@@ -116,7 +116,7 @@
         kind=kind,
         rank=rank,
         tasks=tasks,
-        need=Room(cpus, gpus, codec.amount(row, "memory_gb")),
+        need=Resources(cpus, gpus, codec.amount(row, "memory_gb")),
         image=Image(codec.text(row, "bundle")),
         image_gb=codec.amount(row, "size_gb"),
         types=_types(row.get("flavours")),
@@ -128,11 +128,11 @@
         checkpoint_s=Duration(codec.opt_amount(row, "snapshot_s") or 0.0),
         save_s=Duration(codec.opt_amount(row, "flush_s") or 0.0),
         deadline_s=None if deadline is None else Duration(deadline),
-        awaits=_awaits(uid, row.get("awaits")),
+        dependencies=_decode_dependencies(uid, row.get("awaits")),
     )
 
 
-def _awaits(uid: str, value: Any) -> tuple[JobId, ...]:
+def _decode_dependencies(uid: str, value: Any) -> tuple[JobId, ...]:
     """A name given twice counts once; null, omitted and empty are the same."""
     if value is None:
         return ()
@@ -182,7 +182,7 @@
         "flush_s": spec.save_s,
         "due_s": spec.deadline_s,
     }
-    return row | {"awaits": spec.awaits} if spec.awaits else row
+    return row | {"awaits": spec.dependencies} if spec.dependencies else row
 
 
 def encode_state(
--- a/dunehold/protocol/workers.py
+++ b/dunehold/protocol/workers.py
@@ -13,6 +13,7 @@
     Attempt,
     AttemptId,
     Duration,
+    ExitReason,
     HostId,
     JobId,
     Sequence,
@@ -21,7 +22,6 @@
     TaskPhase,
     Token,
     TypeName,
-    Why,
     Zone,
 )
 
@@ -34,14 +34,14 @@
     "ended": TaskPhase.EXITED,
 }
 _CAUSES = {
-    "done": Why.DONE,
-    "halted": Why.STOPPED,
-    "error": Why.ERROR,
-    "no_room": Why.NO_ROOM,
-    "in_use": Why.BUSY,
-    "unknown": Why.UNKNOWN,
-    "mates_gone": Why.PEERS,
-    "incomplete": Why.ALONE,
+    "done": ExitReason.DONE,
+    "halted": ExitReason.STOPPED,
+    "error": ExitReason.ERROR,
+    "no_room": ExitReason.NO_ROOM,
+    "in_use": ExitReason.BUSY,
+    "unknown": ExitReason.UNKNOWN,
+    "mates_gone": ExitReason.GANG_MEMBER_LOST,
+    "incomplete": ExitReason.GANG_INCOMPLETE,
 }
 
 
@@ -49,7 +49,7 @@
 class TaskReport:
     id: AttemptId
     phase: TaskPhase
-    why: Why | None
+    exit_reason: ExitReason | None
     saved: bool
 
 
@@ -114,7 +114,7 @@
         raise BadMessage("unknown phase")
     why = None
     if phase is TaskPhase.EXITED:
-        why = _CAUSES.get(str(row.get("cause")), Why.OTHER)
+        why = _CAUSES.get(str(row.get("cause")), ExitReason.OTHER)
     attempt = Attempt(codec.count(row, "try"))
     task = TaskId(JobId(job), int(index))
     return TaskReport(AttemptId(task, attempt), phase, why, row.get("kept") is True)
--- a/dunehold/report.py
+++ b/dunehold/report.py
@@ -4,29 +4,40 @@
 
 from typing import Any
 
-COLUMNS = ("", "jobs", "done", "in time", "cancelled", "CPU-hours asked", "served", "share")
-
-
-def served(row: dict[str, Any]) -> str:
+SERVED_COLUMNS = (
+    "",
+    "jobs",
+    "done",
+    "in time",
+    "cancelled",
+    "CPU-hours asked",
+    "served",
+    "share",
+)
+
+
+def format_served(row: dict[str, Any]) -> str:
     """The answer to ``dunehold served`` as tables: classes, teams, zones that are not well."""
     lines = [f"counted for {row['since_s']:.0f} s by this controller"]
     for group in ("classes", "teams"):
-        rows = [COLUMNS, *(_cells(name, cells) for name, cells in row[group].items())]
-        lines += ["", group, *_aligned(rows)]
+        rows = [SERVED_COLUMNS, *(_cells(name, cells) for name, cells in row[group].items())]
+        lines += ["", group, *_align_columns(rows)]
     zones = {zone: condition for zone, condition in row["zones"].items() if condition != "well"}
     lines += ["", "zones: " + (", ".join(f"{z} {c}" for z, c in zones.items()) or "all well")]
     return "\n".join(lines)
 
 
-ORDERS = ("", "what", "stage", "done", "left", "in hand", "wave", "over in")
+ORDER_COLUMNS = ("", "what", "stage", "done", "left", "in hand", "wave", "over in")
 
 
-def orders(row: dict[str, Any]) -> str:
+def format_orders(row: dict[str, Any]) -> str:
     """The answer to ``dunehold orders``, the oldest order first."""
     lines = [f"serial {row['serial']}, leader {row['leader'] or 'none'}"]
-    rows = [ORDERS, *(_order_cells(one) for one in row["orders"])]
+    rows = [ORDER_COLUMNS, *(_order_cells(one) for one in row["orders"])]
     return (
-        "\n".join([*lines, "", *_aligned(rows)]) if row["orders"] else lines[0] + ", no orders"
+        "\n".join([*lines, "", *_align_columns(rows)])
+        if row["orders"]
+        else lines[0] + ", no orders"
     )
 
 
@@ -43,7 +54,7 @@
     )
 
 
-def order(row: dict[str, Any], now: float) -> str:
+def format_order(row: dict[str, Any], now: float) -> str:
     """One order: what it asks for, how far it is, what holds it up."""
     asked = {
         "machines": row.get("hosts"),
@@ -100,7 +111,7 @@
     return (name, *counts, *hours, f"{cells['share']:.3f}")
 
 
-def _aligned(rows: list[tuple[str, ...]]) -> list[str]:
+def _align_columns(rows: list[tuple[str, ...]]) -> list[str]:
     widths = [max(map(len, column)) for column in zip(*rows, strict=True)]
     return [
         "  ".join(
--- a/dunehold/settings.py
+++ b/dunehold/settings.py
@@ -9,8 +9,8 @@
 from typing import Any
 
 from dunehold import budgets
-from dunehold.budgets import Budgets
-from dunehold.types import Duration, NodeId, Room, Team, Zone
+from dunehold.budgets import DisruptionBudgets
+from dunehold.types import Duration, NodeId, Resources, Team, Zone
 
 
 class SettingsError(Exception):
@@ -35,11 +35,11 @@
     """What a team is promised and the most it may use; an amount of 0 means none."""
 
     name: Team
-    guarantee: Room
+    guarantee: Resources
     limit_cpus: float | None
     limit_gpus: float | None
 
-    def allows(self, use: Room) -> bool:
+    def allows(self, use: Resources) -> bool:
         return (self.limit_cpus is None or use.cpus <= self.limit_cpus + 1e-6) and (
             self.limit_gpus is None or use.gpus <= self.limit_gpus + 1e-6
         )
@@ -82,7 +82,7 @@
     bind_outgoing: int = 0
     pack_submissions: int = 1
     operator_port: int = 0
-    disruption: Budgets = Budgets()
+    disruption: DisruptionBudgets = DisruptionBudgets()
 
 
 @dataclass(frozen=True, slots=True)
@@ -157,14 +157,14 @@
             raise SettingsError(f"{self._label(key)}: must be a list of texts")
         return value
 
-    def number(self, key: str, default: float | None = None, least: float = 0.0) -> float:
+    def number(self, key: str, default: float | None = None, minimum: float = 0.0) -> float:
         value = self.values.get(key, default)
         if value is None:
             raise SettingsError(f"{self._label(key)}: missing")
         if isinstance(value, bool) or not isinstance(value, int | float):
             raise SettingsError(f"{self._label(key)}: must be a number")
-        if not math.isfinite(value) or value < least:
-            raise SettingsError(f"{self._label(key)}: must be at least {least:g}")
+        if not math.isfinite(value) or value < minimum:
+            raise SettingsError(f"{self._label(key)}: must be at least {minimum:g}")
         return float(value)
 
     def address(self, key: str) -> Address:
@@ -184,7 +184,7 @@
         raise SettingsError(f"{path}: not TOML: {error}") from None
     settings = _decode(_Table(document, ""))
     if operator_path is not None:
-        settings = replace(settings, operator=load_operator(operator_path))
+        settings = replace(settings, operator=load_operator_settings(operator_path))
     return settings
 
 
@@ -195,8 +195,11 @@
     # What the state service will allow from some moment. Sizes keep to the smaller of both
     # from the start, since what is too large is refused for good; rates once refusals show it.
     later = state.table("next") if "next" in state.values else _Table({}, "params.state.next")
-    value_kb, txn_ops = state.number("value_kb", least=1.0), state.number("txn_ops", least=2.0)
-    rps, write_rps = state.number("rps", least=1.0), state.number("write_rps", least=1.0)
+    value_kb, txn_ops = (
+        state.number("value_kb", minimum=1.0),
+        state.number("txn_ops", minimum=2.0),
+    )
+    rps, write_rps = state.number("rps", minimum=1.0), state.number("write_rps", minimum=1.0)
     zones = tuple(Zone(zone) for zone in params.texts("zones"))
     settings = Settings(
         node=NodeId(root.text("host_name")),
@@ -213,21 +216,21 @@
         clock_error_s=Duration(params.number("clock_error_ms", 0.0) / 1000),
         teams={team.name: team for team in map(_team, params.tables("teams"))},
         objectives=tuple(map(_objective, params.tables("objectives"))),
-        report_s=Duration(workers.number("report_s", least=0.01)),
-        lease_s=Duration(workers.number("lease_s", least=1.0)),
-        cancel_s=Duration(workers.number("cancel_s", least=1.0)),
+        report_s=Duration(workers.number("report_s", minimum=0.01)),
+        lease_s=Duration(workers.number("lease_s", minimum=1.0)),
+        cancel_s=Duration(workers.number("cancel_s", minimum=1.0)),
         state_rps=rps,
         state_write_rps=write_rps,
-        value_bytes=int(min(value_kb, later.number("value_kb", value_kb, least=1.0)) * 1024),
-        txn_ops=int(min(txn_ops, later.number("txn_ops", txn_ops, least=2.0))),
+        value_bytes=int(min(value_kb, later.number("value_kb", value_kb, minimum=1.0)) * 1024),
+        txn_ops=int(min(txn_ops, later.number("txn_ops", txn_ops, minimum=2.0))),
         write_burst=txn_ops,
-        later_rps=min(rps, later.number("rps", rps, least=1.0)),
-        later_write_rps=min(write_rps, later.number("write_rps", write_rps, least=1.0)),
-        cloud_rps=cloud.number("rps", least=0.01),
+        later_rps=min(rps, later.number("rps", rps, minimum=1.0)),
+        later_write_rps=min(write_rps, later.number("write_rps", write_rps, minimum=1.0)),
+        cloud_rps=cloud.number("rps", minimum=0.01),
         list_lag_s=Duration(cloud.number("list_lag_s")),
-        core_share=machine.number("core_share", 1.0, least=0.01),
-        memory_mb=machine.number("ram_mb", 256.0, least=1.0),
-        sockets=int(machine.number("sockets", 1000, least=16)),
+        core_share=machine.number("core_share", 1.0, minimum=0.01),
+        memory_mb=machine.number("ram_mb", 256.0, minimum=1.0),
+        sockets=int(machine.number("sockets", 1000, minimum=16)),
     )
     if not zones:
         raise SettingsError("params.zones: must name at least one zone")
@@ -249,7 +252,7 @@
             raise SettingsError(f"{row.name}.{kind}: is more than {kind}_max")
     return TeamSettings(
         Team(row.text("name")),
-        Room(row.number("cpus", 0.0), row.number("gpus", 0.0), math.inf),
+        Resources(row.number("cpus", 0.0), row.number("gpus", 0.0), math.inf),
         limits["cpus"],
         limits["gpus"],
     )
@@ -265,7 +268,7 @@
     )
 
 
-def load_operator(path: Path) -> OperatorSettings:
+def load_operator_settings(path: Path) -> OperatorSettings:
     """``(dunehold (leader-lease-s 3.0) ...)``; every name is optional."""
     import sexpdata  # only needed when there is such a file
 
--- a/dunehold/transport/http.py
+++ b/dunehold/transport/http.py
@@ -12,22 +12,22 @@
 
 import h11
 
-from dunehold.transport.admission import Admission, Line, Purpose
+from dunehold.transport.admission import Admission, AdmittedConnection, Purpose
 
 log = logging.getLogger(__name__)
 
-MAX_BODY = 64 * 1024
-MAX_HEADER = 16 * 1024
-READ_CHUNK = 64 * 1024
-REQUEST_S = 20.0  # for a whole request to come, and for a whole answer to be taken
-NO_ROOM = (
+MAX_BODY_BYTES = 64 * 1024
+MAX_HEADER_BYTES = 16 * 1024
+READ_CHUNK_BYTES = 64 * 1024
+REQUEST_TIMEOUT_S = 20.0  # for a whole request to come, and for a whole answer to be taken
+OVERLOADED_RESPONSE = (
     b"HTTP/1.1 503 Service Unavailable\r\nContent-Type: application/json\r\n"
     b"Content-Length: 2\r\nRetry-After: 1\r\nConnection: close\r\n\r\n{}"
 )
 REASONS = {200: b"OK", 201: b"Created", 421: b"Misdirected Request", 422: b"Unprocessable"}
 
 
-def split_address(text: str) -> tuple[str, int] | None:
+def parse_address(text: str) -> tuple[str, int] | None:
     """``HOST:PORT`` as people type it; None for anything else."""
     host, colon, port = text.rpartition(":")
     return (host, int(port)) if colon and port.isdigit() else None
@@ -85,7 +85,7 @@
 
     handler: Handler
     max_connections: int
-    idle_s: float = 90.0
+    idle_timeout_s: float = 90.0
     purpose_of: Callable[[Request], Purpose] = lambda request: Purpose.USER
     admission: Admission = field(init=False)
     _open: set[asyncio.StreamWriter] = field(default_factory=set)
@@ -95,19 +95,19 @@
 
     async def start(self, host: str, port: int) -> asyncio.Server:
         return await asyncio.start_server(
-            self._serve, host, port, limit=READ_CHUNK, backlog=512, reuse_address=True
+            self._serve, host, port, limit=READ_CHUNK_BYTES, backlog=512, reuse_address=True
         )
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         # A flood of connections must not take the sockets that other purposes need.
         peer = str((writer.get_extra_info("peername") or ("",))[0])
-        line = self.admission.arrive(writer.transport.abort, peer, _now())
+        line = self.admission.admit(writer.transport.abort, peer, _now())
         if line is None:
-            writer.write(NO_ROOM)
+            writer.write(OVERLOADED_RESPONSE)
             writer.close()
             return
         self._open.add(writer)
-        conn = h11.Connection(h11.SERVER, max_incomplete_event_size=MAX_HEADER)
+        conn = h11.Connection(h11.SERVER, max_incomplete_event_size=MAX_HEADER_BYTES)
         try:
             while await self._exchange(conn, reader, writer, line):
                 conn.start_next_cycle()
@@ -118,7 +118,7 @@
             log.exception("connection handler failed")
         finally:
             self._open.discard(writer)
-            self.admission.leave(line)
+            self.admission.release(line)
             writer.close()
 
     async def _exchange(
@@ -126,7 +126,7 @@
         conn: h11.Connection,
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
-        line: Line,
+        line: AdmittedConnection,
     ) -> bool:
         """One request and its response; true while the connection may be used again."""
         try:
@@ -141,7 +141,7 @@
         if isinstance(request, Response):
             await self._send(conn, writer, request, close=True)
             return False
-        self.admission.begin(line, self.purpose_of(request))
+        self.admission.begin_request(line, self.purpose_of(request))
         try:
             response = await self.handler(request._replace(peer=line.peer))
         except ConnectionError:
@@ -150,7 +150,7 @@
             log.exception("request %s %s failed", request.method, request.path)
             response = Response(503, retry_after=1)
         await self._send(conn, writer, response, close=response.close)
-        self.admission.end(line, _now())
+        self.admission.end_request(line, _now())
         return conn.our_state is h11.DONE and conn.their_state is h11.DONE
 
     async def _read(
@@ -163,17 +163,21 @@
         while True:
             event = conn.next_event()
             if event is h11.NEED_DATA:
-                left = self.idle_s if due is None else min(self.idle_s, due - _now())
+                left = (
+                    self.idle_timeout_s
+                    if due is None
+                    else min(self.idle_timeout_s, due - _now())
+                )
                 async with asyncio.timeout(left):
-                    conn.receive_data(await reader.read(READ_CHUNK))
-                due = due or _now() + REQUEST_S
+                    conn.receive_data(await reader.read(READ_CHUNK_BYTES))
+                due = due or _now() + REQUEST_TIMEOUT_S
             elif isinstance(event, h11.Request):
                 head = event
                 if conn.they_are_waiting_for_100_continue:
                     return Response(417)
             elif isinstance(event, h11.Data):
                 size += len(event.data)
-                if size > MAX_BODY:
+                if size > MAX_BODY_BYTES:
                     return Response(413)
                 parts.append(bytes(event.data))
             elif isinstance(event, h11.EndOfMessage):
@@ -212,11 +216,11 @@
         ]
         writer.write(b"".join(chunk for chunk in chunks if chunk))
         if writer.transport.get_write_buffer_size():
-            async with asyncio.timeout(REQUEST_S):  # nor one that does not read
+            async with asyncio.timeout(REQUEST_TIMEOUT_S):  # nor one that does not read
                 await writer.drain()
 
 
-class Answer(NamedTuple):
+class ClientResponse(NamedTuple):
     """What came back; ``retry_after_s`` is 0 where the server named none."""
 
     status: int
@@ -224,7 +228,7 @@
     retry_after_s: float
 
 
-class _Link(NamedTuple):
+class _PooledConnection(NamedTuple):
     reader: asyncio.StreamReader
     writer: asyncio.StreamWriter
     conn: h11.Connection
@@ -239,24 +243,24 @@
 
     host: str
     port: int
-    max_links: int = 8
+    max_connections: int = 8
     local_host: str | None = None
-    _idle: deque[_Link] = field(default_factory=deque)
+    _idle: deque[_PooledConnection] = field(default_factory=deque)
     _slots: asyncio.Semaphore | None = None
 
     async def request(
         self, method: str, target: str, body: bytes | None, timeout_s: float
     ) -> tuple[int, bytes]:
         """Status and body, or NoResponse when none came in time."""
-        return (await self.ask(method, target, body, timeout_s))[:2]
+        return (await self.request_with_retry_after(method, target, body, timeout_s))[:2]
 
-    async def ask(
+    async def request_with_retry_after(
         self, method: str, target: str, body: bytes | None, timeout_s: float
-    ) -> Answer:
+    ) -> ClientResponse:
         """As ``request``, with what the answer says of a retry."""
         if self._slots is None:
-            self._slots = asyncio.Semaphore(self.max_links)
-        link: _Link | None = None
+            self._slots = asyncio.Semaphore(self.max_connections)
+        link: _PooledConnection | None = None
         try:
             async with asyncio.timeout(timeout_s), self._slots:
                 link = self._take() or await self._connect()
@@ -280,7 +284,7 @@
         while self._idle:
             self._drop(self._idle.pop())
 
-    def _take(self) -> _Link | None:
+    def _take(self) -> _PooledConnection | None:
         while self._idle:
             link = self._idle.pop()
             if not link.reader.at_eof() and not link.writer.is_closing():
@@ -288,21 +292,21 @@
             self._drop(link)
         return None
 
-    async def _connect(self) -> _Link:
+    async def _connect(self) -> _PooledConnection:
         local = None if self.local_host is None else (self.local_host, 0)
         reader, writer = await asyncio.open_connection(
-            self.host, self.port, limit=READ_CHUNK, local_addr=local
+            self.host, self.port, limit=READ_CHUNK_BYTES, local_addr=local
         )
-        return _Link(reader, writer, h11.Connection(h11.CLIENT))
+        return _PooledConnection(reader, writer, h11.Connection(h11.CLIENT))
 
     @staticmethod
-    def _drop(link: _Link | None) -> None:
+    def _drop(link: _PooledConnection | None) -> None:
         if link is not None:
             link.writer.transport.abort()
 
     async def _exchange(
-        self, link: _Link, method: str, target: str, body: bytes | None
-    ) -> Answer:
+        self, link: _PooledConnection, method: str, target: str, body: bytes | None
+    ) -> ClientResponse:
         headers = [("Host", f"{self.host}:{self.port}")]
         if body is not None:
             headers.append(("Content-Type", "application/json"))
@@ -319,14 +323,14 @@
         while True:
             event = conn.next_event()
             if event is h11.NEED_DATA:
-                conn.receive_data(await link.reader.read(READ_CHUNK))
+                conn.receive_data(await link.reader.read(READ_CHUNK_BYTES))
             elif isinstance(event, h11.Response):
                 status = event.status_code
                 retry_after_s = _retry_after(event)
             elif isinstance(event, h11.Data):
                 parts.append(bytes(event.data))
             elif isinstance(event, h11.EndOfMessage):
-                return Answer(status, b"".join(parts), retry_after_s)
+                return ClientResponse(status, b"".join(parts), retry_after_s)
             elif isinstance(event, h11.ConnectionClosed):
                 raise EOFError("closed")
 
--- a/dunehold/transport/budget.py
+++ b/dunehold/transport/rate_limiter.py
@@ -11,7 +11,7 @@
 
 
 @dataclass(slots=True)
-class Budget:
+class RateLimiter:
     """``rate`` per second with a burst of ``burst``; lower ``priority`` goes first."""
 
     rate: float
@@ -19,26 +19,26 @@
     _level: float = 0.0
     _filled_at: MonotonicTime = MonotonicTime(-1.0)
     _queue: list[tuple[int, int, float, asyncio.Future[None]]] = field(default_factory=list)
-    _count: int = 0
+    _sequence: int = 0
     _timer: asyncio.TimerHandle | None = None
 
-    async def take(self, priority: int, amount: float = 1.0) -> None:
+    async def acquire(self, priority: int, amount: float = 1.0) -> None:
         amount = min(amount, self.burst)
         self._fill()
         if not self._queue and self._level >= amount:
             self._level -= amount
             return
         future: asyncio.Future[None] = asyncio.get_running_loop().create_future()
-        self._count += 1
-        heapq.heappush(self._queue, (priority, self._count, amount, future))
-        self._serve()
+        self._sequence += 1
+        heapq.heappush(self._queue, (priority, self._sequence, amount, future))
+        self._wake_waiters()
         await future
 
-    def give_back(self, amount: float) -> None:
+    def refund(self, amount: float) -> None:
         """What was taken and not used."""
         self._fill()
         self._level = min(self.burst, self._level + max(0.0, amount))
-        self._serve()
+        self._wake_waiters()
 
     def set_rate(self, rate: float, burst: float) -> None:
         """From now on; what was saved up stays, as far as it fits."""
@@ -46,7 +46,7 @@
         self.rate = rate
         self.burst = burst
         self._level = min(self._level, burst)
-        self._serve()
+        self._wake_waiters()
 
     def wait_s(self, amount: float = 1.0, priority: float = math.inf) -> float:
         """How long who comes last of this priority would wait, if nobody of higher came."""
@@ -62,7 +62,7 @@
             self._level = min(self.burst, self._level + (now - self._filled_at) * self.rate)
         self._filled_at = MonotonicTime(now)
 
-    def _serve(self) -> None:
+    def _wake_waiters(self) -> None:
         self._fill()
         while self._queue:
             _, _, amount, future = self._queue[0]
@@ -81,4 +81,4 @@
         if self._queue:
             delay = (self._queue[0][2] - self._level) / self.rate
             loop = asyncio.get_running_loop()
-            self._timer = loop.call_later(max(delay, 0.002), self._serve)
+            self._timer = loop.call_later(max(delay, 0.002), self._wake_waiters)
--- a/dunehold/types.py
+++ b/dunehold/types.py
@@ -47,46 +47,46 @@
         return f"{self.task}#{self.attempt}"
 
 
-class Room(NamedTuple):
+class Resources(NamedTuple):
     """Amounts of a machine: what a task takes, or what is left."""
 
     cpus: float
     gpus: float
     memory_gb: float
 
-    def plus(self, other: Room) -> Room:
-        return Room(
+    def plus(self, other: Resources) -> Resources:
+        return Resources(
             self.cpus + other.cpus, self.gpus + other.gpus, self.memory_gb + other.memory_gb
         )
 
-    def minus(self, other: Room) -> Room:
-        return Room(
+    def minus(self, other: Resources) -> Resources:
+        return Resources(
             self.cpus - other.cpus, self.gpus - other.gpus, self.memory_gb - other.memory_gb
         )
 
-    def times(self, number: int) -> Room:
-        return Room(self.cpus * number, self.gpus * number, self.memory_gb * number)
+    def times(self, number: int) -> Resources:
+        return Resources(self.cpus * number, self.gpus * number, self.memory_gb * number)
 
-    def holds(self, need: Room) -> bool:
+    def holds(self, need: Resources) -> bool:
         return (
             need.cpus <= self.cpus + EPSILON
             and need.gpus <= self.gpus + EPSILON
             and need.memory_gb <= self.memory_gb + EPSILON
         )
 
-    def copies(self, need: Room) -> int:
+    def count_fitting(self, need: Resources) -> int:
         """How many times ``need`` fits."""
         fits = [
-            int(min((have + EPSILON) / want, MANY))  # a limit may be infinite
+            int(min((have + EPSILON) / want, UNBOUNDED))  # a limit may be infinite
             for have, want in zip(self, need, strict=True)
             if want > EPSILON
         ]
-        return max(0, min(fits)) if fits else MANY
+        return max(0, min(fits)) if fits else UNBOUNDED
 
 
 EPSILON = 1e-6
-MANY = 1_000_000
-NO_ROOM = Room(0.0, 0.0, 0.0)
+UNBOUNDED = 1_000_000
+NO_RESOURCES = Resources(0.0, 0.0, 0.0)
 
 
 class Rank(IntEnum):
@@ -98,7 +98,7 @@
     PRODUCTION = 3
 
 
-class Kind(StrEnum):
+class JobKind(StrEnum):
     ARRAY = "array"
     GANG = "gang"  # runs only while all its tasks do
     SERVICE = "service"
@@ -116,13 +116,13 @@
         return self is not JobPhase.ACTIVE
 
 
-class Condition(StrEnum):
+class ZoneCondition(StrEnum):
     """Of a zone, as the leader judges it."""
 
-    WELL = "well"
-    DOUBTFUL = "doubtful"
+    HEALTHY = "well"
+    SUSPECT = "doubtful"
     LOST = "lost"
-    RETURNING = "returning"
+    RECOVERING = "returning"
 
 
 class TaskPhase(StrEnum):
@@ -133,7 +133,7 @@
     EXITED = "exited"
 
 
-class Why(StrEnum):
+class ExitReason(StrEnum):
     """Why a task exited."""
 
     DONE = "done"
@@ -141,8 +141,8 @@
     ERROR = "error"
     NO_ROOM = "no_room"
     BUSY = "busy"
-    PEERS = "peers"  # a task of its gang went away
-    ALONE = "alone"  # its gang did not come together in time
+    GANG_MEMBER_LOST = "peers"  # a task of its gang went away
+    GANG_INCOMPLETE = "alone"  # its gang did not come together in time
     UNKNOWN = "unknown"
     OTHER = "other"
 
--- a/tests/test_autoscaler.py
+++ b/tests/test_autoscaler.py
@@ -9,16 +9,16 @@
 
 from dunehold.coordination.fleet.autoscaler import decide
 from dunehold.coordination.fleet.fleet import Fleet
-from dunehold.coordination.picture.offers import Demand, FleetHost, Offer
+from dunehold.coordination.planning.offers import Demand, FleetHost, Offer
 from dunehold.protocol.cloud import MachineType, NoCapacity, Rental
-from dunehold.types import Duration, HostId, MonotonicTime, RentalId, Room, TypeName, Zone
+from dunehold.types import Duration, HostId, MonotonicTime, RentalId, Resources, TypeName, Zone
 from tests.virtual import VirtualLoop
 
 ZONES = (Zone("a"), Zone("b"))
 
 
 def kind(name: str, cpus: float, price: float) -> MachineType:
-    room = Room(cpus, 0.0, cpus * 4)
+    room = Resources(cpus, 0.0, cpus * 4)
     return MachineType(TypeName(name), room, 10.0, 1.0, price, price / 3, Duration(20.0), ZONES)
 
 
@@ -26,7 +26,7 @@
 
 
 def rented(doubtful: set[Offer], tasks: int = 40) -> dict[Offer, int]:
-    demand = Demand(Room(2.0, 0.0, 1.0), tasks, 30.0, lambda _: True)
+    demand = Demand(Resources(2.0, 0.0, 1.0), tasks, 30.0, lambda _: True)
     made = decide(TYPES, [], [demand], set(), doubtful, 0.0, 20.0)
     found: dict[Offer, int] = {}
     for rent in made.rent:
@@ -47,9 +47,9 @@
 
 def test_room_on_machines_that_are_counted_on_needs_no_others() -> None:
     offer = Offer(TypeName("small"), ZONES[0], True)
-    room = TYPES[offer.type].room
+    room = TYPES[offer.type].capacity
     hosts = [FleetHost(HostId(f"m{n}"), offer, room, room, [], None) for n in range(20)]
-    demand = Demand(Room(2.0, 0.0, 1.0), 40, 30.0, lambda _: True)
+    demand = Demand(Resources(2.0, 0.0, 1.0), 40, 30.0, lambda _: True)
     assert not decide(TYPES, hosts, [demand], set(), set(), 0.0, 20.0).rent
     assert decide(TYPES, hosts[:10], [demand], set(), set(), 0.0, 20.0).rent
 
@@ -57,16 +57,16 @@
 def fleet(**more: Any) -> Fleet:
     plain: dict[str, Any] = dict.fromkeys(Fleet.__match_args__)
     ready = {name: plain[name] for name in plain if not name.startswith("_")}
-    for name in ("refused", "listed", "boots"):
+    for name in ("capacity_refused_at", "listed", "boot_history"):
         ready[name] = {}
-    ready |= {"types": TYPES, "late": set(), **more}
+    ready |= {"types": TYPES, "overdue_hosts": set(), **more}
     return Fleet(**ready)
 
 
 def host(name: str, at: float, up: bool) -> SimpleNamespace:
     return SimpleNamespace(
         id=HostId(name), type=TypeName("small"), zone=ZONES[0], spot=True, up=up,
-        fed_at=None, created_at=at, deleting=False, boot_noted=False,
+        lease_renewed_at=None, created_at=at, deleting=False, boot_noted=False,
     )  # fmt: skip
 
 
@@ -74,15 +74,17 @@
     """Work waited for them until their patience of four boot times was over."""
     hosts = {f"m{n}": host(f"m{n}", 10.0, up=n < 3) for n in range(8)}
     care = fleet(ledger=SimpleNamespace(hosts=hosts, took_over_at=0.0))
-    care.note_boots(MonotonicTime(30.0))
-    assert not care.late
-    care.note_boots(MonotonicTime(52.0))
-    assert care.late == {f"m{n}" for n in range(3, 8)}
-    assert care.doubtful(MonotonicTime(53.0)) == {Offer(TypeName("small"), ZONES[0], True)}
-    assert not care.doubtful(MonotonicTime(400.0))  # tried again some time later
+    care.record_boots(MonotonicTime(30.0))
+    assert not care.overdue_hosts
+    care.record_boots(MonotonicTime(52.0))
+    assert care.overdue_hosts == {f"m{n}" for n in range(3, 8)}
+    assert care.unreliable_offers(MonotonicTime(53.0)) == {
+        Offer(TypeName("small"), ZONES[0], True)
+    }
+    assert not care.unreliable_offers(MonotonicTime(400.0))  # tried again some time later
     hosts["m7"].up = True
-    care.note_boots(MonotonicTime(54.0))
-    assert HostId("m7") not in care.late  # late, but it is there: used or returned
+    care.record_boots(MonotonicTime(54.0))
+    assert HostId("m7") not in care.overdue_hosts  # late, but it is there: used or returned
 
 
 def test_once_the_cloud_has_no_more_no_further_call_is_made() -> None:
@@ -96,7 +98,7 @@
             await asyncio.sleep(0.1)
             if rental.type == "small":
                 raise NoCapacity
-            return [HostId(f"{rental.id}-{n}") for n in range(rental.number)]
+            return [HostId(f"{rental.id}-{n}") for n in range(rental.count)]
 
     class Recorder:
         async def record_rentals(self, rentals: list[Rental]) -> None: ...
@@ -104,13 +106,13 @@
             ended.append(rental)
 
     async def rent() -> None:
-        ledger = SimpleNamespace(hosts={}, gone=set(), add_host=lambda *_: None)
+        ledger = SimpleNamespace(hosts={}, deleted_hosts=set(), add_host=lambda *_: None)
         care = fleet(
             cloud=Cloud(), recorder=Recorder(), ledger=ledger, token=7,
             on_change=lambda: None, spawn=lambda work: work.close(),
         )  # fmt: skip
-        demand = Demand(Room(2.0, 0.0, 1.0), 250, 30.0, lambda o: o.type == "small")
-        large = Demand(Room(32.0, 0.0, 1.0), 60, 30.0, lambda _: True)
+        demand = Demand(Resources(2.0, 0.0, 1.0), 250, 30.0, lambda o: o.type == "small")
+        large = Demand(Resources(32.0, 0.0, 1.0), 60, 30.0, lambda _: True)
         decision = decide(TYPES, [], [demand, large], set(), set(), 0.0, 20.0)
         assert len(decision.rent) == 6
         await care._rent_all(decision.rent)
@@ -126,7 +128,12 @@
 def test_a_list_that_lacks_a_machine_does_not_prove_it_gone() -> None:
     """Some lists are older than they should be: a task taken for lost would run twice."""
     silent = SimpleNamespace(
-        id=HostId("m1"), known=False, deleting=False, fed_at=None, created_at=0.0, address=""
+        id=HostId("m1"),
+        session_known=False,
+        deleting=False,
+        lease_renewed_at=None,
+        created_at=0.0,
+        address="",
     )
     deleted: list[str] = []
 
@@ -138,10 +145,11 @@
         work.close()
         deleted.append("asked")
 
-    ledger = SimpleNamespace(hosts={"m1": silent}, gone=set())
+    ledger = SimpleNamespace(hosts={"m1": silent}, deleted_hosts=set())
     care = fleet(
         ledger=ledger, cloud=Cloud(), spawn=spawn, may_start=lambda: True,
-        settings=SimpleNamespace(list_lag_s=6.0), zones=SimpleNamespace(lost=lambda _: False),
+        settings=SimpleNamespace(list_lag_s=6.0),
+        zones=SimpleNamespace(is_lost=lambda _: False),
     )  # fmt: skip
     care._take_list([], MonotonicTime(17.0))
     assert not deleted and not silent.deleting
--- a/tests/test_awaits.py
+++ b/tests/test_awaits.py
@@ -15,10 +15,10 @@
 from hypothesis import strategies as st
 
 from dunehold.bookkeeping import records
-from dunehold.bookkeeping.needs import Needs
-from dunehold.bookkeeping.packs.rows import Accepted, Packer, decode_accepted
+from dunehold.bookkeeping.batches.encoding import AcceptedJob, JobBatchBuilder, decode_job_batch
+from dunehold.bookkeeping.dependencies import DependencyIndex
 from dunehold.bookkeeping.view import View
-from dunehold.coordination.picture.heirs import Heirs
+from dunehold.coordination.planning.priority_inheritance import PriorityInheritance
 from dunehold.protocol import codec
 from dunehold.protocol.codec import BadMessage
 from dunehold.protocol.state import Change, Entry
@@ -83,7 +83,7 @@
     def reloaded(self) -> View:
         view = View()
         view.load(sorted(self.entries.values()), Revision(self.revision))
-        view.link()
+        view.resolve_dependencies()
         return view
 
 
@@ -131,9 +131,9 @@
             assert {j: p.value for j, p in phases(view).items()} == {
                 uid(job): ends.get(job, "active") for job in needs
             }
-            assert set(view.needs.waits) == waiting
+            assert set(view.dependency_index.pending) == waiting
             assert set(view.active) == {uid(job) for job in needs if job not in ends}
-            assert all(view.needs.after.values())
+            assert all(view.dependency_index.dependents.values())
 
 
 def test_a_chain_of_thousands_and_a_fan_of_thousands_are_cancelled_by_one_end() -> None:
@@ -144,7 +144,11 @@
     for number in range(3000, 6000):
         book.accept(spec(number, 0))
     assert len(set(book.cancel(0))) == 6000
-    assert not book.view.active and not book.view.needs.waits and not book.view.needs.after
+    assert (
+        not book.view.active
+        and not book.view.dependency_index.pending
+        and not book.view.dependency_index.dependents
+    )
     assert set(phases(book.reloaded()).values()) == {JobPhase.CANCELLED}
 
 
@@ -152,10 +156,10 @@
     book = Book()
     for job in (spec(1), spec(2), spec(3, 1, 2)):
         book.accept(job)
-    assert book.view.waits(uid(3)) and uid(3) not in book.done(1, 20.0)
-    assert uid(3) in book.done(2, 30.0) and not book.view.waits(uid(3))
-    assert book.view.jobs[uid(3)].wanted_at == 30.0
-    assert book.reloaded().jobs[uid(3)].wanted_at == 30.0
+    assert book.view.waits_for_dependencies(uid(3)) and uid(3) not in book.done(1, 20.0)
+    assert uid(3) in book.done(2, 30.0) and not book.view.waits_for_dependencies(uid(3))
+    assert book.view.jobs[uid(3)].eligible_at == 30.0
+    assert book.reloaded().jobs[uid(3)].eligible_at == 30.0
 
 
 def test_a_job_that_names_a_cancelled_one_is_cancelled() -> None:
@@ -170,23 +174,29 @@
 def test_a_cancellation_after_the_end_of_a_packed_job_takes_nothing_along() -> None:
     """Of two ends the first stands, also where a listing shows the later one first."""
     book = Book()
-    packer = Packer(3000)
+    packer = JobBatchBuilder(3000)
     for job in (spec(1), spec(2, 1)):
-        assert packer.add(Accepted(job, WallTime(1.0)))
-    book.put(records.PACKS + "x.1", packer.value())
-    book.put(records.ENDS + "1.1", {"done": [["job-000001", 2, 1.0]], "end": 5.0})
+        assert packer.add(AcceptedJob(job, WallTime(1.0)))
+    book.put(records.JOB_BATCHES + "x.1", packer.value())
+    book.put(records.COMPLETION_BATCHES + "1.1", {"done": [["job-000001", 2, 1.0]], "end": 5.0})
     value = records.encode_cancelled(replace_spec(book, 1), 4096)
     book.put(records.job_key(uid(1)), value)
     for view in (book.view, book.reloaded()):
         assert view.jobs[uid(1)].phase is JobPhase.DONE
-        assert view.jobs[uid(2)].phase is JobPhase.ACTIVE and not view.waits(uid(2))
+        assert view.jobs[uid(2)].phase is JobPhase.ACTIVE and not view.waits_for_dependencies(
+            uid(2)
+        )
     late = View()
-    entries = [e for e in book.entries.values() if not e.key.startswith(records.ENDS)]
+    entries = [
+        e for e in book.entries.values() if not e.key.startswith(records.COMPLETION_BATCHES)
+    ]
     late.load(sorted(entries), Revision(1))
-    ends = book.entries[records.ENDS + "1.1"]
+    ends = book.entries[records.COMPLETION_BATCHES + "1.1"]
     late.apply([Change(ends.key, ends.value, ends.version, False)], Revision(book.revision))
-    late.link()
-    assert late.jobs[uid(2)].phase is JobPhase.ACTIVE and not late.waits(uid(2))
+    late.resolve_dependencies()
+    assert late.jobs[uid(2)].phase is JobPhase.ACTIVE and not late.waits_for_dependencies(
+        uid(2)
+    )
 
 
 def replace_spec(book: Book, number: int) -> records.JobRecord:
@@ -194,11 +204,11 @@
 
 
 def test_the_cost_of_an_end_does_not_grow_with_those_that_wait_for_others() -> None:
-    needs = Needs()
+    needs = DependencyIndex()
     for number in range(10_000):
         needs.add(uid(number + 10), [uid(number % 10)])
-    assert needs.done(uid(99_999)) == []
-    assert len(needs.done(uid(3))) == 1000
+    assert needs.complete(uid(99_999)) == []
+    assert len(needs.complete(uid(3))) == 1000
 
 
 # -- how it is written ---------------------------------------------------------------------
@@ -215,19 +225,19 @@
 
 def test_null_omitted_and_empty_are_the_same_and_names_count_once() -> None:
     for same in (JOB, JOB | {"awaits": None}, JOB | {"awaits": []}):
-        assert decode_job(orjson.dumps(same)).awaits == ()
+        assert decode_job(orjson.dumps(same)).dependencies == ()
     twice = decode_job(
         orjson.dumps(JOB | {"awaits": ["job-000003", "job-000002", "job-000003"]})
     )
-    assert twice.awaits == ("job-000003", "job-000002")
+    assert twice.dependencies == ("job-000003", "job-000002")
 
 
 def test_a_pack_gives_no_job_the_needs_of_the_one_before() -> None:
-    packer = Packer(3000)
+    packer = JobBatchBuilder(3000)
     jobs = [spec(1), spec(2, 1), spec(3), spec(4, 2, 3), spec(5, 4)]
-    assert all(packer.add(Accepted(job, WallTime(1.0))) for job in jobs)
+    assert all(packer.add(AcceptedJob(job, WallTime(1.0))) for job in jobs)
     value = codec.load(codec.dump(packer.value()))
-    assert [row.spec for row in decode_accepted(value)] == jobs
+    assert [row.spec for row in decode_job_batch(value)] == jobs
 
 
 def test_a_job_is_never_too_large_to_be_cancelled() -> None:
@@ -272,14 +282,14 @@
 
 
 def test_the_checker_finds_a_start_too_early(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(View, "waits", lambda self, job: False)
+    monkeypatch.setattr(View, "waits_for_dependencies", lambda self, job: False)
     with pytest.raises(RuleBroken, match="too_early"):
         play(300, with_pipelines(nothing))
 
 
 def test_the_checker_finds_orphans(monkeypatch: pytest.MonkeyPatch) -> None:
     """Every day is played: on some, what needs a cancelled job starts too early first."""
-    monkeypatch.setattr(View, "_cancel", lambda self, jobs: None)
+    monkeypatch.setattr(View, "_cancel_dependents", lambda self, jobs: None)
     broken = []
     for seed in range(300, 308):
         try:
@@ -317,7 +327,7 @@
     found["again"] = await asked(world, follower | {"awaits": ["job-999998"]})
     leader = next(n.node.leader for n in world.nodes if n.node and n.node.leader)
     record = leader.view.jobs[JobId("job-900003")]
-    found["waits"] = leader.view.waits(record.id)
+    found["waits"] = leader.view.waits_for_dependencies(record.id)
     found["planned for"] = record.id in leader.progress
     host = next(iter(leader.ledger.hosts.values()), None)
     if host is not None:
@@ -348,28 +358,28 @@
 def test_rank_and_deadline_come_from_the_last_job(monkeypatch: pytest.MonkeyPatch) -> None:
     book, told = Book(), []
     ledger: Any = SimpleNamespace(view=book.view)
-    heirs = Heirs(ledger, lambda job: 10.0, told.append)
+    heirs = PriorityInheritance(ledger, lambda job: 10.0, told.append)
 
     def accept(job: JobSpec) -> None:
         for touched in book.accept(job):
-            heirs.look_again(touched)
-            if book.view.waits(touched):
-                heirs.came(touched)
+            heirs.refresh(touched)
+            if book.view.waits_for_dependencies(touched):
+                heirs.add_waiting_job(touched)
 
     for number in range(1, 5):
         accept(spec(number, *([number - 1] if number > 1 else []), rank="idle"))
-    assert heirs.rank(spec(1, rank="idle")) is Rank.LOW
+    assert heirs.effective_rank(spec(1, rank="idle")) is Rank.LOW
     accept(spec(5, 4, rank="high", due_s=100.0))
-    assert heirs.rank(spec(1, rank="idle")) is Rank.HIGH
+    assert heirs.effective_rank(spec(1, rank="idle")) is Rank.HIGH
     assert heirs.due_at(uid(4)) == 1.0 + 100.0 - 10.0
     assert heirs.due_at(uid(1)) == 1.0 + 100.0 - 40.0
     told.clear()
     for touched in book.cancel(5):
         if book.view.jobs[touched].phase is JobPhase.ACTIVE:
-            heirs.look_again(touched)
+            heirs.refresh(touched)
         else:
-            heirs.over(touched)
-    assert heirs.rank(spec(1, rank="idle")) is Rank.LOW and set(told) == {
+            heirs.remove(touched)
+    assert heirs.effective_rank(spec(1, rank="idle")) is Rank.LOW and set(told) == {
         uid(n) for n in range(1, 5)
     }
 
@@ -388,11 +398,11 @@
             changes += world.state.store.revision
         print(f"pipelines {share}: {made} jobs, {changes / made:.2f} transactions a job")
     for waiting in (0, 1_000, 10_000):
-        needs = Needs()
+        needs = DependencyIndex()
         for number in range(waiting):
             needs.add(uid(number + 100_000), [uid(number % 50)])
         began = time.perf_counter()
         for number in range(1_000):
-            needs.done(uid(number + 1_000))
+            needs.complete(uid(number + 1_000))
         spent = time.perf_counter() - began
         print(f"{waiting} wait: {spent * 1e3:.2f} ms for the ends of 1,000 others")
--- a/tests/test_checker.py
+++ b/tests/test_checker.py
@@ -17,9 +17,9 @@
 from dunehold.bookkeeping import records
 from dunehold.bookkeeping.ledger import Ledger
 from dunehold.coordination.node import Node
-from dunehold.coordination.picture.picture import Picture
+from dunehold.coordination.planning.snapshot_builder import SnapshotBuilder
 from dunehold.coordination.term.leader import Leader
-from dunehold.coordination.users import intake
+from dunehold.coordination.users import job_api
 from dunehold.emulator.agents.looks import OddRequests
 from dunehold.emulator.aims import Aims
 from dunehold.emulator.check import UNHEARD_S, Checker, JobSeen, check
@@ -119,22 +119,22 @@
 
 def takes_silence_for_absence(patch: pytest.MonkeyPatch) -> None:
     def gone_at_once(self: Ledger, host: object, now: float) -> bool:
-        fed_at = getattr(host, "fed_at", None)
+        fed_at = getattr(host, "lease_renewed_at", None)
         return fed_at is not None and now > fed_at + 0.5
 
-    patch.setattr(Ledger, "_lease_over", gone_at_once)
+    patch.setattr(Ledger, "_lease_expired", gone_at_once)
 
 
 def knows_no_limits(patch: pytest.MonkeyPatch) -> None:
-    build = Picture.snapshot
+    build = SnapshotBuilder.snapshot
 
-    def unlimited(self: Picture, *arguments: Any) -> Any:
+    def unlimited(self: SnapshotBuilder, *arguments: Any) -> Any:
         snapshot = build(self, *arguments)
         snapshot.team_room.clear()
         return snapshot
 
     patch.setattr(Ledger, "team_allows", lambda *_: True)
-    patch.setattr(Picture, "snapshot", unlimited)
+    patch.setattr(SnapshotBuilder, "snapshot", unlimited)
 
 
 def starts_nothing(patch: pytest.MonkeyPatch) -> None:
@@ -431,9 +431,9 @@
     fault: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     if fault == "a field":
-        monkeypatch.setattr(users, "REQUIRED", ())
+        monkeypatch.setattr(users, "REQUIRED_FIELDS", ())
     else:
-        monkeypatch.setattr(intake, "check_possible", lambda *given: None)
+        monkeypatch.setattr(job_api, "check_schedulable", lambda *given: None)
 
     async def odd(world: World) -> None:
         asking = OddRequests(world.users, world.rng, world.jobs.rows.__getitem__)
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -118,10 +118,10 @@
              "cpu_s": 7200.0, "served_cpu_s": 5400.0, "share": 0.75}  # fmt: skip
     row = {"since_s": 60.0, "classes": {"train": tally}, "teams": {"vision": tally},
            "zones": {"north": "lost", "south": "well"}}  # fmt: skip
-    printed = report.served(row).splitlines()
+    printed = report.format_served(row).splitlines()
     assert "train 9 7 5/7 1 2.00 1.50 0.750" in [" ".join(line.split()) for line in printed]
     assert printed[-1] == "zones: north lost"
-    assert report.served(row | {"zones": {}}).endswith("zones: all well")
+    assert report.format_served(row | {"zones": {}}).endswith("zones: all well")
 
 
 NEXT = "\n[params.state.next]\nvalue_kb = 2.0\ntxn_ops = 4\nwrite_rps = 15.0\n"
--- a/tests/test_further_meetings.py
+++ b/tests/test_further_meetings.py
@@ -16,21 +16,21 @@
 import pytest
 
 from dunehold.bookkeeping import records
-from dunehold.bookkeeping.hosts import Host, Outcome, Run
+from dunehold.bookkeeping.hosts import Host, ReportOutcome, Run
 from dunehold.bookkeeping.ledger import Ledger
-from dunehold.bookkeeping.unseen import Unseen
+from dunehold.bookkeeping.unreconciled import UnreconciledHosts
 from dunehold.bookkeeping.view import View
-from dunehold.coordination.durable.sync import Sync
-from dunehold.coordination.election.feeding import Feeding
+from dunehold.coordination.election.lease_renewal import LeaseRenewal
 from dunehold.coordination.node import Node
+from dunehold.coordination.persistence.sync import ViewSync
 from dunehold.coordination.term.leader import Leader
-from dunehold.coordination.users.intake import Intake
+from dunehold.coordination.users.job_api import JobApi
 from dunehold.emulator.agents.looks import CloseLooks, OddRequests
 from dunehold.emulator.agents.users import Users
 from dunehold.emulator.history import Event
 from dunehold.emulator.model.cloud import Boots
 from dunehold.protocol import users as user_messages
-from dunehold.protocol.state import Change, Priority, StateClient, Txn, TxnResult
+from dunehold.protocol.state import Change, RequestPriority, StateClient, Txn, TxnResult
 from dunehold.protocol.workers import Report
 from dunehold.settings import Settings
 from dunehold.transport.http import Request, Response
@@ -125,13 +125,13 @@
 def test_a_proof_of_a_moment_ago_is_older_than_the_answer_of_another_node(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    barrier = Sync.barrier
+    barrier = ViewSync.barrier
 
-    async def lately(self: Sync, urgent: bool = False) -> None:
+    async def lately(self: ViewSync, urgent: bool = False) -> None:
         if urgent or asyncio.get_running_loop().time() - self.proved_at > 0.5:
             await barrier(self, urgent)
 
-    monkeypatch.setattr(Sync, "barrier", lately)
+    monkeypatch.setattr(ViewSync, "barrier", lately)
     broken = broken_days(range(400, 403), close_looks)
     assert any("went_back" in b or "forgotten" in b for b in broken)
 
@@ -163,11 +163,11 @@
         txn = StateClient.txn
 
         async def unguarded(
-            self: StateClient, txn_: Txn, priority: int, paid: bool = False
+            self: StateClient, txn_: Txn, priority: int, pre_acquired: bool = False
         ) -> TxnResult:
             for key in [k for k in txn_.guards if "/jobs/" in k]:
                 del txn_.guards[key]
-            return await txn(self, txn_, priority, paid)
+            return await txn(self, txn_, priority, pre_acquired)
 
         monkeypatch.setattr(StateClient, "txn", unguarded)
 
@@ -254,10 +254,10 @@
 def test_a_refusal_without_a_proof_forgets_a_job(monkeypatch: pytest.MonkeyPatch) -> None:
     """A node that has not heard of a job yet took its repetition for a new submission."""
 
-    async def at_once(self: Intake, job: JobId | None, status: int, reason: str) -> Response:
+    async def at_once(self: JobApi, job: JobId | None, status: int, reason: str) -> Response:
         return Response(status, user_messages.encode_error(reason))
 
-    monkeypatch.setattr(Intake, "_refuse", at_once)
+    monkeypatch.setattr(JobApi, "_refuse", at_once)
 
     async def odd(world: World) -> None:
         """Again and again, right after the acceptance, at all nodes, otherwise described."""
@@ -343,17 +343,21 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """As if a stop that was sent were a stop that was carried out."""
-    end = Leader._end_all_of
+    end = Leader._stop_all_attempts
 
     def gone(self: Leader, job: JobId) -> None:
-        runs = [r for t in self.ledger.by_job.get(job, ()) for r in self.ledger.present[t]]
+        runs = [
+            r
+            for t in self.ledger.task_zones_by_job.get(job, ())
+            for r in self.ledger.runs_by_task[t]
+        ]
         end(self, job)
         for run in runs:
             if run.id in self.ledger.hosts[run.host].runs:
                 self.ledger._remove(self.ledger.hosts[run.host], run)
 
     monkeypatch.setattr("tests.test_rules.World", AtLimits)
-    monkeypatch.setattr(Leader, "_end_all_of", gone)
+    monkeypatch.setattr(Leader, "_stop_all_attempts", gone)
     assert any("quota" in b for b in broken_days(range(440, 446), at_limits))
 
 
@@ -390,7 +394,7 @@
         )
 
     monkeypatch.setattr(Ledger, "_unwanted", wanted)
-    monkeypatch.setattr(Leader, "_end_all_of", lambda self, job: None)
+    monkeypatch.setattr(Leader, "_stop_all_attempts", lambda self, job: None)
     assert any("ran_cancelled" in b for b in broken_days(range(450, 454), hands_over))
 
 
@@ -432,7 +436,7 @@
     def unlogged(self: Ledger, *args: Any) -> Any:
         run = plan_start(self, *args)
         if isinstance(run, Run):
-            run.logged = True
+            run.start_logged = True
         return run
 
     monkeypatch.setattr(Ledger, "plan_start", unlogged)
@@ -470,15 +474,15 @@
 
     def whatever(
         self: Ledger, report: Report, now: MonotonicTime, direct: bool = False
-    ) -> Outcome:
+    ) -> ReportOutcome:
         host = self.hosts.get(report.host)
         if host is not None and report.token < self.token:
-            host.dead_session, host.sequence = Session(0), Sequence(0)
+            host.expired_session, host.sequence = Session(0), Sequence(0)
             host.session = min(host.session, report.session)
         return ingest(self, replace(report, token=self.token), now, direct)
 
     monkeypatch.setattr(Ledger, "ingest", whatever)
-    monkeypatch.setattr(Leader, "_seen_above", lambda self, host, token: None)
+    monkeypatch.setattr(Leader, "_handle_higher_token", lambda self, host, token: None)
     broken = broken_days(range(470, 476), reports_for_the_next)
     assert any("ran_twice" in b or "quota" in b for b in broken)
 
@@ -523,11 +527,11 @@
 
     def hears(
         self: Ledger, report: Report, now: MonotonicTime, direct: bool = False
-    ) -> Outcome:
+    ) -> ReportOutcome:
         outcome = ingest(self, report, now, direct)
         host: Host | None = self.hosts.get(report.host)
         if host is not None and outcome.accepted:
-            host.reports, host.reported_at = True, now
+            host.is_reporting, host.reported_at = True, now
         return outcome
 
     monkeypatch.setattr(Ledger, "ingest", hears)
@@ -607,7 +611,7 @@
 def test_a_leader_that_reads_no_log_of_starts_runs_tasks_twice(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(Unseen, "may_run", lambda self, task: False)
+    monkeypatch.setattr(UnreconciledHosts, "may_run", lambda self, task: False)
     assert any("ran_twice" in b for b in broken_days(range(500, 506), ten_changes))
 
 
@@ -742,7 +746,7 @@
     asked = sum(world.met["cancellations"] for world in worlds)
     assert asked > 100
     first = sum(world.waited for world in worlds) / asked
-    monkeypatch.setattr(Priority, "CANCEL", Priority.BULK)
+    monkeypatch.setattr(RequestPriority, "CANCEL", RequestPriority.BULK)
     worlds = [play(seed, swarm) for seed in range(530, 532)]
     asked = sum(world.met["cancellations"] for world in worlds)
     assert first < 0.6 * sum(world.waited for world in worlds) / asked
@@ -757,16 +761,16 @@
 
     def __init__(self) -> None:
         self.rows: list[str] = []
-        self.requests = self
+        self.request_limiter = self
 
-    async def take(self, priority: int) -> None: ...
+    async def acquire(self, priority: int) -> None: ...
 
     async def entries(self, prefix: str, priority: int) -> tuple[list[Any], int]:
         await asyncio.sleep(0.1)
         return [], 0
 
     async def changes(
-        self, prefix: str, after: int, hold_s: float, priority: int, paid: bool = False
+        self, prefix: str, after: int, hold_s: float, priority: int, pre_acquired: bool = False
     ) -> tuple[list[Any], int]:
         if hold_s:
             await asyncio.sleep(1000.0)
@@ -787,7 +791,7 @@
     async def start() -> bool:
         state: Any = Listed()
         view = View()
-        sync = Sync(state, view, lambda jobs: None, Duration(0.0), Duration(0.1))
+        sync = ViewSync(state, view, lambda jobs: None, Duration(0.0), Duration(0.1))
         watch = asyncio.create_task(sync.watch())
         await asyncio.sleep(0.15)  # its listing is done, its changes are under way
         state.rows.append("job-000001")
@@ -828,7 +832,7 @@
         put(JobPhase.ACTIVE, 1)
         sync = Proved()
         nothing: Any = None
-        intake = Intake(
+        intake = JobApi(
             nothing,
             nothing,
             view,
@@ -881,8 +885,8 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr("tests.test_rules.World", LongTasks)
-    monkeypatch.setattr(Feeding, "allowed", lambda self, relaying=False: True)
-    monkeypatch.setattr(Node, "_passed_by", lambda self: None)
+    monkeypatch.setattr(LeaseRenewal, "allowed", lambda self, relaying=False: True)
+    monkeypatch.setattr(Node, "_on_cut_off_from_state", lambda self: None)
     assert any("ran_cancelled" in b for b in broken_days(range(550, 554), slow_then_gone))
 
 
@@ -921,7 +925,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr("tests.test_rules.World", LongTasks)
-    monkeypatch.setattr(Unseen, "may_run", lambda self, task: False)
+    monkeypatch.setattr(UnreconciledHosts, "may_run", lambda self, task: False)
     assert any("ran_twice" in b for b in broken_days(range(560, 564), long_tasks_unreached))
 
 
--- a/tests/test_health.py
+++ b/tests/test_health.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from dunehold.coordination.picture.health import Health
+from dunehold.coordination.planning.health import Health
 from dunehold.types import HostId, JobId, MonotonicTime
 from tests.test_rules import play
 from tests.world import World
@@ -29,13 +29,13 @@
     for step in range(1500):
         now = at(step * 0.5)
         job, host = rng.choice(jobs), rng.choice(hosts)
-        if health.sick(host) or health.held(job, now):
+        if health.is_faulty(host) or health.in_backoff(job, now):
             continue
         if job in broken or host in faulty:
-            health.failed(job, host, now)
+            health.record_failure(job, host, now)
         else:
-            health.completed(job, host)
-    assert {host for host in hosts if health.sick(host)} == faulty
+            health.record_success(job, host)
+    assert {host for host in hosts if health.is_faulty(host)} == faulty
     assert health.broken_jobs() == broken
 
 
@@ -43,24 +43,24 @@
     health = Health(2)
     job, now, tries = JobId("j"), 0.0, 0
     while now < 600.0:
-        if not health.held(job, at(now)):
+        if not health.in_backoff(job, at(now)):
             # Many tasks of it fail in the same moment: that is one try.
             for task in range(5):
-                health.failed(job, HostId(f"m{tries}-{task}"), at(now + task * 0.01))
+                health.record_failure(job, HostId(f"m{tries}-{task}"), at(now + task * 0.01))
             tries += 1
         now += 1.0
-    assert health.broken(job)
+    assert health.is_broken(job)
     assert 5 <= tries <= 16
 
 
 def test_what_a_leader_found_spares_the_next_the_failures() -> None:
     health = Health(2)
-    health.known_broken({JobId("j")}, at(0.0))
-    assert health.held(JobId("j"), at(1.0))
+    health.restore_broken_jobs({JobId("j")}, at(0.0))
+    assert health.in_backoff(JobId("j"), at(1.0))
     # Judged wrongly, it is free again with its first result.
-    health.completed(JobId("j"), HostId("m"))
-    assert not health.held(JobId("j"), at(1.0))
-    assert not health.broken(JobId("j"))
+    health.record_success(JobId("j"), HostId("m"))
+    assert not health.in_backoff(JobId("j"), at(1.0))
+    assert not health.is_broken(JobId("j"))
 
 
 def test_a_job_with_one_machine_to_run_on_is_not_tried_without_end() -> None:
@@ -68,20 +68,20 @@
     health = Health(2)
     tries, now = 0, 0.0
     while now < 120.0:
-        if not health.held(JobId("j"), at(now)):
+        if not health.in_backoff(JobId("j"), at(now)):
             tries += 1
             for _ in range(4):  # its tasks all fail together
-                health.failed(JobId("j"), HostId("only"), at(now))
+                health.record_failure(JobId("j"), HostId("only"), at(now))
         now += 0.5
     assert tries < 25  # 240 without it
-    assert not health.broken(JobId("j"))
+    assert not health.is_broken(JobId("j"))
 
 
 def test_tasks_that_fail_together_on_a_faulty_machine_slow_nothing_down() -> None:
     health = Health(2)
     for _ in range(20):
-        health.failed(JobId("j"), HostId("faulty"), at(1.0))
-    assert not health.held(JobId("j"), at(1.1))
+        health.record_failure(JobId("j"), HostId("faulty"), at(1.0))
+    assert not health.in_backoff(JobId("j"), at(1.1))
 
 
 async def mistakes(world: World) -> None:
@@ -98,7 +98,7 @@
 ) -> None:
     """Each change of leader cost the fleet a wave of failures for every broken job."""
     remembered = sum(play(seed, mistakes).errors for seed in range(3))
-    monkeypatch.setattr(Health, "known_broken", lambda *_: None)
-    monkeypatch.setattr(Health, "held", lambda *_: False)
+    monkeypatch.setattr(Health, "restore_broken_jobs", lambda *_: None)
+    monkeypatch.setattr(Health, "in_backoff", lambda *_: False)
     forgotten = sum(play(seed, mistakes).errors for seed in range(3))
     assert remembered < 0.6 * forgotten, (remembered, forgotten)
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -12,8 +12,8 @@
 
 import pytest
 
-from dunehold.bookkeeping.hosts import Host, Outcome
-from dunehold.bookkeeping.ledger import RELAY_S, Ledger
+from dunehold.bookkeeping.hosts import Host, ReportOutcome
+from dunehold.bookkeeping.ledger import RELAY_EXPIRY_S, Ledger
 from dunehold.bookkeeping.records import RelayRecord
 from dunehold.protocol.workers import Report
 from dunehold.types import MonotonicTime, NodeId, Token
@@ -80,16 +80,16 @@
             elif to == "ours":
                 self.ours(message)
                 self.met["lost answers"] += not heard
-                if heard and message.session > self.host.dead_session:
+                if heard and message.session > self.host.expired_session:
                     self.answered(sent, session, OURS)
         self.expire()
 
     def ours(self, message: Report) -> None:
-        """As ``Leader.report`` does."""
-        if message.session <= self.host.dead_session:
+        """As ``Leader.handle_report`` does."""
+        if message.session <= self.host.expired_session:
             return
         self.ledger.ingest(message, MonotonicTime(self.now))
-        self.host.fed_at = MonotonicTime(self.now)
+        self.host.lease_renewed_at = MonotonicTime(self.now)
 
     def direct(self) -> None:
         """A command reaches the worker; its answer may be lost, or be the first we hear."""
@@ -105,11 +105,13 @@
             relays[NodeId("n2")] = RelayRecord(ZONE, Token(OURS))
         elif relays.pop(NodeId("n2"), None) is not None:
             self.ledger.view.relay_changes[ZONE] = 1
-        self.ledger.note_relays(MonotonicTime(self.now))
-        self.ledger.expire(MonotonicTime(self.now))
+        self.ledger.update_relays(MonotonicTime(self.now))
+        self.ledger.expire_leases(MonotonicTime(self.now))
         # What the worker does by itself just now it does first.
         self.live()
-        if self.host.fenced or (not self.ledger.unseen.hosts and not self.host.known):
+        if self.host.fenced or (
+            not self.ledger.unreconciled.hosts and not self.host.session_known
+        ):
             self.met["fenced"] += 1
             assert not self.alive, f"fenced at {self.now:.2f}, {self.met}"
 
@@ -125,8 +127,9 @@
 
 
 def test_no_lease_is_counted_out_while_anybody_may_have_renewed_it() -> None:
-    """The suspicion was that a direct answer in a session that is known leaves ``fed_at`` where
-    a lost answer put it, and the leader before fed the worker later. It is refuted: a session
+    """The suspicion was that a direct answer in a session that is known leaves
+    ``lease_renewed_at`` where a lost answer put it, and the leader before fed the worker later.
+    It is refuted: a session
     is known only by a message with our own token, which the older leader can't feed; the first
     such message begins the lease anew (``Ledger.ingest``)."""
     met = days(range(600))
@@ -142,12 +145,12 @@
 
     def as_it_was(
         self: Ledger, message: Report, now: MonotonicTime, direct: bool = False
-    ) -> Outcome:
+    ) -> ReportOutcome:
         host: Host = self.hosts[HOST]
-        fed_at = host.fed_at
+        fed_at = host.lease_renewed_at
         outcome = ingest(self, message, now, direct)
         if direct and fed_at is not None:
-            host.fed_at = fed_at
+            host.lease_renewed_at = fed_at
         return outcome
 
     monkeypatch.setattr(Ledger, "ingest", as_it_was)
@@ -158,7 +161,7 @@
 def test_a_lease_beyond_a_cut_that_is_not_counted_ends_too_early(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    assert RELAY_S > 2.0
-    monkeypatch.setattr(Ledger, "note_relays", lambda self, now: None)
+    assert RELAY_EXPIRY_S > 2.0
+    monkeypatch.setattr(Ledger, "update_relays", lambda self, now: None)
     with pytest.raises(AssertionError, match="fenced"):
         days(range(600))
--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -8,14 +8,14 @@
 from dunehold.bookkeeping.ledger import Ledger
 from dunehold.bookkeeping.records import HostRecord, JobRecord, RelayRecord
 from dunehold.bookkeeping.view import View
-from dunehold.coordination.picture.progress import JobProgress
-from dunehold.coordination.term.lateness import Cause, Lateness, Wait
+from dunehold.coordination.planning.progress import JobProgress
+from dunehold.coordination.term.late_starts import Cause, FirstStart, LateStarts
 from dunehold.protocol.cloud import MachineType
 from dunehold.protocol.users import decode_job_object
 from dunehold.protocol.workers import Report, Start, TaskReport
 from dunehold.settings import TeamSettings
 from dunehold.types import (
-    NO_ROOM,
+    NO_RESOURCES,
     AttemptId,
     Duration,
     HostId,
@@ -23,8 +23,8 @@
     JobPhase,
     MonotonicTime,
     NodeId,
+    Resources,
     Revision,
-    Room,
     Sequence,
     Session,
     TaskId,
@@ -51,11 +51,12 @@
     view.hosts[HOST] = HostRecord(HOST, KIND, ZONE, False)
     record = JobRecord(spec.id, JobPhase.ACTIVE, Revision(5), WallTime(0.0), spec, spec.tasks)
     view.jobs[spec.id] = view.active[spec.id] = record
-    room = Room(96.0, 8.0, 768.0)
+    room = Resources(96.0, 8.0, 768.0)
     kind = MachineType(KIND, room, 200.0, 1.0, 12.0, 4.5, Duration(45.0), (ZONE,))
     ledger = Ledger(
         view, Token(7), MonotonicTime(0.0),
-        {TEAM: TeamSettings(TEAM, NO_ROOM, None, None)}, {KIND: kind}, LEASE, Duration(20.0),
+        {TEAM: TeamSettings(TEAM, NO_RESOURCES, None, None)}, {KIND: kind},
+        LEASE, Duration(20.0),
     )  # fmt: skip
     return ledger, ledger.hosts[HOST], record
 
@@ -64,7 +65,7 @@
     """Task 3 started on the machine, and in the log: it may be commanded."""
     run = ledger.plan_start(record, TASK, host, Tier.FOREGROUND, now)
     assert not isinstance(run, str)
-    run.logged = True
+    run.start_logged = True
     return run
 
 
@@ -81,7 +82,7 @@
     and what had just been started there was started elsewhere as well."""
     ledger, host, record = make_ledger()
     ledger.ingest(report(1, 1), MonotonicTime(1.0))
-    host.fed_at = MonotonicTime(1.0)
+    host.lease_renewed_at = MonotonicTime(1.0)
     back = MonotonicTime(15.3)  # before the ledger would have counted the lease as over
     assert ledger.ingest(report(2, 5), back, direct=True).accepted
     # Direct answers alone would renew no lease: nothing starts before a report has come.
@@ -90,9 +91,9 @@
     assert ledger.ingest(report(2, 6), back).accepted
     run = begin(ledger, host, record, back)
     ledger.commands(host, direct=True, starts=True)
-    assert ledger.expire(MonotonicTime(15.6)) == []
-    assert TASK in ledger.present
-    assert ledger.expire(MonotonicTime(back + LEASE * 1.01 + 1.0)) == [run]
+    assert ledger.expire_leases(MonotonicTime(15.6)) == []
+    assert TASK in ledger.runs_by_task
+    assert ledger.expire_leases(MonotonicTime(back + LEASE * 1.01 + 1.0)) == [run]
 
 
 def test_a_direct_answer_does_not_refute_a_start_in_a_report_response() -> None:
@@ -115,7 +116,7 @@
     ledger.commands(host, direct=True, starts=True)
     ledger.ingest(report(1, 2), now)
     ledger.stop(run, Duration(0.0))
-    assert TASK in ledger.present
+    assert TASK in ledger.runs_by_task
     # It is made known and stopped in one go; what is late then finds it ended.
     assert [type(c).__name__ for c in ledger.commands(host, False, True)] == ["Start", "Stop"]
 
@@ -126,11 +127,11 @@
     seen = TaskReport(
         AttemptId(TASK, run_attempt := 1 << 32 | 1), TaskPhase.RUNNING, None, False
     )  # type: ignore[arg-type]
-    assert not ledger.all_known()
+    assert not ledger.all_reconciled()
     assert not ledger.ingest(report(1, 1, seen, token=6), MonotonicTime(1.0)).accepted
     outcome = ledger.ingest(report(1, 2, seen), MonotonicTime(2.0))
     assert [run.id.attempt for run in outcome.adopted] == [run_attempt]
-    assert ledger.all_known() and host.used.cpus == 8.0
+    assert ledger.all_reconciled() and host.used.cpus == 8.0
 
 
 def second_leader(spec: dict[str, object]) -> tuple[Ledger, JobRecord]:
@@ -138,7 +139,7 @@
     made, _, record = make_ledger(spec)
     view = made.view
     view.hosts[OTHER] = HostRecord(OTHER, KIND, ZONE, False)
-    view.starts[5] = {OTHER: {TASK}}
+    view.start_log[5] = {OTHER: {TASK}}
     ledger = Ledger(
         view, Token(7), MonotonicTime(0.0), made.teams, made.types, LEASE, Duration(20.0)
     )
@@ -156,7 +157,7 @@
     assert not isinstance(ledger.plan_start(record, other, host, Tier.FOREGROUND, now), str)
     refused = ledger.plan_start(record, TASK, host, Tier.FOREGROUND, now)
     assert refused == "an earlier leader may have started it"
-    ledger.expire(MonotonicTime(60.0))
+    ledger.expire_leases(MonotonicTime(60.0))
     assert ledger.take_released() == [TASK]
 
 
@@ -172,16 +173,16 @@
 def test_no_lease_is_over_while_a_node_beyond_a_cut_may_feed_it() -> None:
     ledger, host, record = make_ledger()
     ledger.ingest(report(1, 1), MonotonicTime(1.0))
-    host.fed_at = MonotonicTime(1.0)
+    host.lease_renewed_at = MonotonicTime(1.0)
     run = begin(ledger, host, record, MonotonicTime(1.0))
     ledger.view.relays[NodeId("n2")] = RelayRecord(ZONE, Token(7))
-    ledger.note_relays(MonotonicTime(15.0))
-    assert ledger.expire(MonotonicTime(16.0)) == []
+    ledger.update_relays(MonotonicTime(15.0))
+    assert ledger.expire_leases(MonotonicTime(16.0)) == []
     ledger.view.relays.clear()
     ledger.view.relay_changes[ZONE] = 2  # it went, and may have fed until its proof was old
-    ledger.note_relays(MonotonicTime(20.0))
-    assert ledger.expire(MonotonicTime(20.0 + LEASE)) == []
-    assert ledger.expire(MonotonicTime(20.0 + LEASE * 1.01 + 3.5)) == [run]
+    ledger.update_relays(MonotonicTime(20.0))
+    assert ledger.expire_leases(MonotonicTime(20.0 + LEASE)) == []
+    assert ledger.expire_leases(MonotonicTime(20.0 + LEASE * 1.01 + 3.5)) == [run]
 
 
 def taken_over(tasks: dict[HostId, set[TaskId]], *jobs: JobRecord) -> Ledger:
@@ -193,11 +194,11 @@
         view.jobs[job.id] = job
         if job.phase is JobPhase.ACTIVE:
             view.active[job.id] = job
-    view.starts[0] = tasks
-    room = Room(96.0, 8.0, 768.0)
+    view.start_log[0] = tasks
+    room = Resources(96.0, 8.0, 768.0)
     kind = MachineType(KIND, room, 200.0, 1.0, 12.0, 4.5, Duration(45.0), (ZONE,))
     teams = {
-        Team(name): TeamSettings(Team(name), NO_ROOM, 40.0, None)
+        Team(name): TeamSettings(Team(name), NO_RESOURCES, 40.0, None)
         for name in ("vision", "sound")
     }
     return Ledger(
@@ -218,33 +219,33 @@
     placed = {HOST: {TaskId(seen.id, n) for n in range(4)}}
     ledger = taken_over(placed, seen, sound)
     assert seen.spec is not None and sound.spec is not None
-    assert ledger.most_use(TEAM).cpus == 4 * seen.spec.need.cpus == 32.0
+    assert ledger.max_team_usage(TEAM).cpus == 4 * seen.spec.need.cpus == 32.0
     assert ledger.team_allows(seen.spec)  # 8 CPUs more are its limit
     assert not ledger.team_allows(seen.spec, seen.spec.need)
     assert ledger.team_allows(sound.spec, sound.spec.need.times(4))
-    ledger._settled(ledger.hosts[HOST])
-    assert ledger.most_use(TEAM) == NO_ROOM
+    ledger._mark_reconciled(ledger.hosts[HOST])
+    assert ledger.max_team_usage(TEAM) == NO_RESOURCES
     assert sorted(ledger.take_released()) == sorted(placed[HOST])
 
 
 def test_a_task_that_two_machines_may_hold_counts_once_until_neither_does() -> None:
     job = job_of("job-000412", "vision")
     ledger = taken_over({HOST: {TASK}, OTHER: {TASK}}, job)
-    assert ledger.most_use(TEAM).cpus == 8.0
-    ledger._settled(ledger.hosts[HOST])
-    assert ledger.most_use(TEAM).cpus == 8.0 and ledger.may_run_unseen(TASK)
-    ledger._settled(ledger.hosts[OTHER])
-    assert ledger.most_use(TEAM) == NO_ROOM and ledger.take_released() == [TASK]
+    assert ledger.max_team_usage(TEAM).cpus == 8.0
+    ledger._mark_reconciled(ledger.hosts[HOST])
+    assert ledger.max_team_usage(TEAM).cpus == 8.0 and ledger.may_run_on_unreconciled_host(TASK)
+    ledger._mark_reconciled(ledger.hosts[OTHER])
+    assert ledger.max_team_usage(TEAM) == NO_RESOURCES and ledger.take_released() == [TASK]
 
 
 def test_what_nothing_describes_counts_as_the_whole_machine_and_for_everybody() -> None:
     ledger = taken_over({HOST: {TASK}})
     for team in ("vision", "sound"):
-        assert ledger.most_use(Team(team)).cpus == 96.0
+        assert ledger.max_team_usage(Team(team)).cpus == 96.0
     cancelled = taken_over({HOST: {TASK}}, job_of("job-000412", "vision", JobPhase.CANCELLED))
-    assert cancelled.most_use(TEAM).cpus == 8.0  # it may still be running
+    assert cancelled.max_team_usage(TEAM).cpus == 8.0  # it may still be running
     done = JobRecord(TASK.job, JobPhase.DONE, Revision(6), WallTime(0.0), None, 8)
-    assert taken_over({HOST: {TASK}}, done).most_use(TEAM) == NO_ROOM
+    assert taken_over({HOST: {TASK}}, done).max_team_usage(TEAM) == NO_RESOURCES
 
 
 def test_a_late_start_is_put_down_to_the_longest_part_of_its_wait() -> None:
@@ -253,7 +254,7 @@
             "accepted_at": 0.0, "known_at": 0.0, "planned_at": 2.0, "running_at": 10.0,
             "limited_s": 0.0, "cached": False,
         }  # fmt: skip
-        wait = Wait(**plain | more)
+        wait = FirstStart(**plain | more)
         assert sum(wait.parts().values()) == wait.total_s
         assert min(wait.parts().values()) >= 0.0
         return wait.cause()
@@ -276,19 +277,21 @@
     outcome = ledger.ingest(report(1, 2, task), MonotonicTime(9.0))
     assert outcome.begun == (run,)
     assert not ledger.ingest(report(1, 3, task), MonotonicTime(9.5)).begun
-    lateness, progress = Lateness(MonotonicTime(0.0)), JobProgress(record.spec, set())
-    run.late = False
+    lateness, progress = LateStarts(MonotonicTime(0.0)), JobProgress(record.spec, set())
+    run.first_seen_late = False
     for _ in range(2):
-        lateness.began(run, progress, 5.0, 8.0)
-    assert lateness.starts == {"train": 1} and lateness.line() == "train 1 of 1: image 1"
+        lateness.record_start(run, progress, 5.0, 8.0)
+    assert lateness.starts == {"train": 1} and lateness.summary() == "train 1 of 1: image 1"
 
 
 def test_what_is_lost_on_a_machine_that_only_direct_calls_reach_is_counted() -> None:
     ledger, host, record = make_ledger()
     ledger.ingest(report(1, 1), MonotonicTime(1.0))
-    host.fed_at = MonotonicTime(1.0)
+    host.lease_renewed_at = MonotonicTime(1.0)
     run = begin(ledger, host, record, MonotonicTime(1.0))
     ledger.commands(host, direct=True, starts=True)
     task = TaskReport(run.id, TaskPhase.RUNNING, None, False)
     ledger.ingest(report(1, 2, task), MonotonicTime(9.0), direct=True)
-    assert ledger.expire(MonotonicTime(17.0)) == [run] and ledger.lost_mute == 1
+    assert (
+        ledger.expire_leases(MonotonicTime(17.0)) == [run] and ledger.lost_without_reports == 1
+    )
--- a/tests/test_measy.py
+++ b/tests/test_measy.py
@@ -9,11 +9,11 @@
 
 import pytest
 
-from dunehold.coordination.picture.aims import put_off
-from dunehold.coordination.picture.health import Health
-from dunehold.coordination.picture.picture import Picture
-from dunehold.coordination.picture.progress import JobProgress, slowness
-from dunehold.coordination.scheduler.measy import Walk, plan
+from dunehold.coordination.planning.health import Health
+from dunehold.coordination.planning.objectives import select_postponed_jobs
+from dunehold.coordination.planning.progress import JobProgress, slowness
+from dunehold.coordination.planning.snapshot_builder import SnapshotBuilder
+from dunehold.coordination.scheduler.backfill import BackfillScheduler, plan
 from dunehold.coordination.scheduler.model import (
     Entry,
     HostState,
@@ -32,7 +32,7 @@
     Image,
     JobId,
     Rank,
-    Room,
+    Resources,
     TaskId,
     Team,
     Tier,
@@ -44,8 +44,8 @@
 TEAM = Team("blue")
 
 
-def cpus(number: float) -> Room:
-    return Room(number, 0.0, 0.0)
+def cpus(number: float) -> Resources:
+    return Resources(number, 0.0, 0.0)
 
 
 def host(name: str, total: float, *runs: RunState, **more: float) -> HostState:
@@ -132,7 +132,7 @@
 def test_no_more_tasks_wait_for_a_type_than_room_frees_up_on_it() -> None:
     """A whole backlog once waited for the few small machines while large ones stood idle."""
     hosts = [host("small", 4.0, run("r", 4, 5)), host("big", 16.0)]
-    job = entry("job", 4, 9, 1, tasks=3, patience_s=100.0)
+    job = entry("job", 4, 9, 1, tasks=3, slack_s=100.0)
     snapshot = Snapshot(hosts, [job], scarcity={(TypeName("t16"), False): 1.0})
     assert [s.host for s in plan(snapshot, Policy()).starts] == ["big", "big"]
 
@@ -142,7 +142,7 @@
     hosts = [host("small", 4.0, run("r", 4, 5)), host("other", 4.0, run("q", 4, 5))]
     hosts[1].zone = Zone("b")
     hosts.append(host("big", 16.0))
-    jobs = [entry(f"job{n}", 4, 9, n, patience_s=100.0) for n in range(5)]
+    jobs = [entry(f"job{n}", 4, 9, n, slack_s=100.0) for n in range(5)]
     made = plan(Snapshot(hosts, jobs, scarcity={(TypeName("t16"), False): 1.0}), Policy())
     assert [s.task.job for s in made.starts] == ["job2", "job3", "job4"]
 
@@ -158,13 +158,13 @@
 
 def test_background_is_lifted_in_place_when_nothing_needs_its_room() -> None:
     machine = host("h", 4.0, run("bg", 2, 50, Tier.BACKGROUND))
-    assert [a.task.job for a in decide([machine], []).lifts] == ["bg"]
+    assert [a.task.job for a in decide([machine], []).promotions] == ["bg"]
     machine = host("h", 4.0, run("bg", 2, 50, Tier.BACKGROUND))
-    assert not decide([machine], [], lifting=False).lifts
+    assert not decide([machine], [], lifting=False).promotions
 
 
 def test_background_moves_from_its_checkpoint() -> None:
-    guest = replace(run("bg", 2, 50, Tier.BACKGROUND), saves=True)
+    guest = replace(run("bg", 2, 50, Tier.BACKGROUND), resumable=True)
     hosts = [host("h", 4.0, guest, run("fg", 2, 10)), host("other", 2.0)]
     made = decide(hosts, [entry("head", 4, 9, 1)])
     assert [(s.attempt.task.job, s.save) for s in made.stops] == [("bg", True)]
@@ -193,11 +193,11 @@
 
 
 def test_a_team_without_limit_on_one_amount() -> None:
-    room = {TEAM: Room(4.0, float("inf"), float("inf"))}
+    room = {TEAM: Resources(4.0, float("inf"), float("inf"))}
     job = entry("job", 2, 9, 1, tasks=5)
-    job.need = Room(2.0, 1.0, 1.0)
+    job.need = Resources(2.0, 1.0, 1.0)
     machine = host("h", 64.0)
-    machine.free = machine.total = Room(64.0, 8.0, 64.0)
+    machine.free = machine.total = Resources(64.0, 8.0, 64.0)
     assert len(plan(Snapshot([machine], [job], room), Policy()).starts) == 2
 
 
@@ -215,7 +215,7 @@
     snapshot = Snapshot(
         [host("a", 4.0, run("r", 4, 14)), host("b", 4.0, run("q", 4, 11))],
         [entry("head", 4, 9, 1)],
-        held=first.reservations,
+        previous_reservations=first.reservations,
     )
     assert plan(snapshot, Policy()).reservations[0].host == "a"
 
@@ -223,24 +223,24 @@
 @pytest.mark.parametrize("loss, stops", [(3.0, 1), (5000.0, 0)])
 def test_preemption_weighs_lost_work(loss: float, stops: int) -> None:
     machine = host("h", 4.0, run("low", 4, 200, ran=loss))
-    urgent = entry("urgent", 4, 9, 1, rank=Rank.HIGH, patience_s=3.0)
+    urgent = entry("urgent", 4, 9, 1, rank=Rank.HIGH, slack_s=3.0)
     assert len(decide([machine], [urgent]).stops) == stops
 
 
 def low(job: str, need: float, ends: float, saves: bool = True) -> RunState:
-    return replace(run(job, need, ends, ran=5.0), rank=Rank.LOW, saves=saves)
+    return replace(run(job, need, ends, ran=5.0), rank=Rank.LOW, resumable=saves)
 
 
 def test_idle_work_makes_way_at_once_for_a_task_of_many_times_its_size() -> None:
     """Eight stops a plan were not enough for one large task, and so it waited for ever."""
     machine = host("h", 32.0, *(low(f"g{n}", 2.0, 300.0) for n in range(16)))
-    made = decide([machine], [entry("member", 32.0, 60.0, 1, patience_s=500.0)])
+    made = decide([machine], [entry("member", 32.0, 60.0, 1, slack_s=500.0)])
     assert len(made.stops) == 16 and all(stop.save for stop in made.stops)
     # What ends by itself in a moment is not stopped, nor is work of the same rank.
     machine = host("h", 32.0, *(low(f"g{n}", 2.0, 1.0) for n in range(16)))
-    assert not decide([machine], [entry("member", 32.0, 60.0, 1, patience_s=500.0)]).stops
+    assert not decide([machine], [entry("member", 32.0, 60.0, 1, slack_s=500.0)]).stops
     machine = host("h", 32.0, *(run(f"m{n}", 2.0, 300.0) for n in range(16)))
-    assert not decide([machine], [entry("member", 32.0, 60.0, 1, patience_s=500.0)]).stops
+    assert not decide([machine], [entry("member", 32.0, 60.0, 1, slack_s=500.0)]).stops
 
 
 def test_room_that_frees_up_is_promised_once_before_others_make_way() -> None:
@@ -249,29 +249,29 @@
         host("soon", 4.0, run("r", 4.0, 2.0)),
         host("guest", 4.0, low("g", 4.0, 300.0)),
     ]
-    jobs = [entry("first", 4.0, 60.0, 1, patience_s=50.0)]
+    jobs = [entry("first", 4.0, 60.0, 1, slack_s=50.0)]
     assert not decide(hosts, jobs).stops
-    jobs = [entry(name, 4.0, 60.0, n, patience_s=50.0) for n, name in enumerate("ab")]
+    jobs = [entry(name, 4.0, 60.0, n, slack_s=50.0) for n, name in enumerate("ab")]
     assert [stop.host for stop in decide(hosts, jobs).stops] == ["guest"]
 
 
 def test_no_room_is_held_or_cleared_for_a_job_that_fails_everywhere() -> None:
     machine = host("h", 4.0, low("g", 4.0, 300.0))
-    made = decide([machine], [entry("bad", 4.0, 60.0, 1, broken=True, patience_s=1.0)])
+    made = decide([machine], [entry("bad", 4.0, 60.0, 1, broken=True, slack_s=1.0)])
     assert not made.stops and not made.reservations and not made.starts
 
 
 def test_a_failed_task_is_tried_on_another_machine() -> None:
     hosts = [host("h1", 4.0), host("h2", 8.0)]
-    job = entry("j", 2.0, 60.0, 1, avoided=frozenset({HostId("h1")}))
+    job = entry("j", 2.0, 60.0, 1, avoided_hosts=frozenset({HostId("h1")}))
     assert decide(hosts, [job]).starts[0].host == "h2"
-    job = entry("j", 2.0, 60.0, 1, avoided=frozenset({HostId("h1"), HostId("h2")}))
+    job = entry("j", 2.0, 60.0, 1, avoided_hosts=frozenset({HostId("h1"), HostId("h2")}))
     assert decide(hosts, [job]).starts
 
 
 def test_equal_rank_is_never_preempted() -> None:
     machine = host("h", 4.0, run("same", 4, 200))
-    assert not decide([machine], [entry("next", 4, 9, 1, patience_s=0.0)]).stops
+    assert not decide([machine], [entry("next", 4, 9, 1, slack_s=0.0)]).stops
 
 
 @pytest.mark.parametrize("seed", range(20))
@@ -314,25 +314,25 @@
         assert sum(late) + hold.need.cpus <= machine.total.cpus + 1e-6
 
 
-class PlainWalk(Walk):
+class PlainWalk(BackfillScheduler):
     """One task at a time, every machine looked at: what the walk must come to as well."""
 
     def _place(self, entry: Entry) -> None:
-        while self._wanted(entry):
+        while self._wants_start(entry):
             costs = [
                 self._cost(entry, h)
                 for h in self._all_hosts()
                 if h.ready_at <= self.now
                 and self._fits_now(entry, h)
-                and (h.id not in self.reserved or self._backfills(entry, h))
+                and (h.id not in self.reserved or self._can_backfill(entry, h))
             ]
             if not costs:
                 break
             best = min(costs, key=lambda c: c[:3])[3]
-            if len(entry.waiting) <= self._better_waiting(entry, best):
+            if len(entry.waiting) <= self._count_better_waiting(entry, best):
                 break
             self._start(entry, best, Tier.FOREGROUND)
-        self._take_slots(entry)
+        self._promise_slots(entry)
 
 
 def random_snapshot(rng: random.Random, machines: int, jobs: int) -> Snapshot:
@@ -355,7 +355,7 @@
     for n in range(jobs):
         made = entry(
             f"j{n:04}", rng.choice([1, 2, 4, 8]), rng.uniform(1, 90), n, rng.randint(1, 30),
-            rank=rng.choice(list(Rank)), patience_s=rng.choice([1.0, 20.0, 1e9]),
+            rank=rng.choice(list(Rank)), slack_s=rng.choice([1.0, 20.0, 1e9]),
             image=Image(rng.choice("ijk")), image_gb=3.0, one_zone=rng.random() < 0.1,
         )  # fmt: skip
         if rng.random() < 0.1:
@@ -371,7 +371,7 @@
 
 @pytest.mark.parametrize("seed", range(25))
 def test_the_walk_decides_as_a_plain_one(seed: int) -> None:
-    policy = Policy(moves=2)
+    policy = Policy(max_moves=2)
     fast = plan(random_snapshot(random.Random(seed), 40, 15), policy)
     plain = PlainWalk(random_snapshot(random.Random(seed), 40, 15), policy).run()
     assert fast == plain
@@ -381,20 +381,20 @@
 def test_a_plan_s_work_grows_with_fleet_plus_backlog(monkeypatch: pytest.MonkeyPatch) -> None:
     """600 machines and a backlog of 3,000 jobs: their product would be 1.8 million looks."""
     looks = 0
-    fits_now, fits_at = Walk._fits_now, Walk._fits_at
+    fits_now, fits_at = BackfillScheduler._fits_now, BackfillScheduler._fits_at
 
-    def counted(self: Walk, job: Entry, machine: HostState) -> bool:
+    def counted(self: BackfillScheduler, job: Entry, machine: HostState) -> bool:
         nonlocal looks
         looks += 1
         return fits_now(self, job, machine)
 
-    def counted_at(self: Walk, *arguments) -> float:  # type: ignore[no-untyped-def]
+    def counted_at(self: BackfillScheduler, *arguments) -> float:  # type: ignore[no-untyped-def]
         nonlocal looks
         looks += 1
         return fits_at(self, *arguments)
 
-    monkeypatch.setattr(Walk, "_fits_now", counted)
-    monkeypatch.setattr(Walk, "_fits_at", counted_at)
+    monkeypatch.setattr(BackfillScheduler, "_fits_now", counted)
+    monkeypatch.setattr(BackfillScheduler, "_fits_at", counted_at)
     snapshot = random_snapshot(random.Random(1), 600, 3000)
     snapshot.team_room.clear()
     for job in snapshot.entries:
@@ -408,17 +408,17 @@
     """Those about to be late went first, and a backlog made all of them late."""
     rows = [(10.0, JobId("a"), 60.0, "x"), (12.0, JobId("b"), 30.0, "x")]
     rows += [(13.0, JobId("d"), 1.0, "y"), (14.0, JobId("c"), 40.0, "x")]
-    wanted, late = put_off(rows, 0.0, 20.0, 4.0)
+    wanted, late = select_postponed_jobs(rows, 0.0, 20.0, 4.0)
     assert (wanted, late) == (71.0, [JobId("a")])
-    assert put_off(rows, 0.0, 20.0, 100.0) == (131.0, [])
+    assert select_postponed_jobs(rows, 0.0, 20.0, 100.0) == (131.0, [])
 
 
 def test_a_slow_machine_gets_no_work_that_would_be_late_there() -> None:
     """A few machines at half speed made most arrays late, since each had some task there."""
     slow, fast = host("a", 4.0), host("b", 4.0, run("r", 4, 3))
     slow.slowness = 2.0
-    assert not started(decide([slow, fast], [entry("tight", 4, 20, 1, patience_s=10.0)]))
-    assert started(decide([slow, fast], [entry("easy", 4, 20, 1, patience_s=30.0)]))
+    assert not started(decide([slow, fast], [entry("tight", 4, 20, 1, slack_s=10.0)]))
+    assert started(decide([slow, fast], [entry("easy", 4, 20, 1, slack_s=30.0)]))
 
 
 def test_a_run_is_slow_by_its_peers() -> None:
@@ -444,18 +444,18 @@
     kind = MachineType(TypeName("t"), cpus(4.0), 10.0, 0.5, 1.0, 0.3, Duration(20.0), ())
     settings = SimpleNamespace(objectives=())
     nothing: Any = None
-    picture = Picture(settings, nothing, nothing, {kind.name: kind}, Health(2), nothing)  # type: ignore[arg-type]
+    picture = SnapshotBuilder(settings, nothing, nothing, {kind.name: kind}, Health(2), nothing)  # type: ignore[arg-type]
     spec = replace(decode_job_object(JOB), image_gb=1.5)
-    progress = JobProgress(spec, set(), [100.0], start_limit=5.0)
-    assert picture._patience(progress, 0.0, 20.0, False) == pytest.approx(1.5)
-    assert picture._patience(progress, 2.0, 20.0, False) == 0.0  # at once, wherever it fits
-    assert picture._patience(progress, 6.0, 20.0, False) == pytest.approx(74.0)
+    progress = JobProgress(spec, set(), [100.0], start_target_s=5.0)
+    assert picture._slack_s(progress, 0.0, 20.0, False) == pytest.approx(1.5)
+    assert picture._slack_s(progress, 2.0, 20.0, False) == 0.0  # at once, wherever it fits
+    assert picture._slack_s(progress, 6.0, 20.0, False) == pytest.approx(74.0)
 
 
 def test_preemption_can_be_switched_off() -> None:
     """The setting had no effect, and room was cleared in every plan."""
     machine = host("h", 4.0, low("g", 4.0, 300.0))
-    job = entry("member", 4.0, 60.0, 1, patience_s=1.0)
+    job = entry("member", 4.0, 60.0, 1, slack_s=1.0)
     assert not decide([machine], [replace(job)], preemption=False).stops
     assert decide([machine], [job]).stops
 
@@ -464,12 +464,12 @@
     """Services, which must not be lost with a spot machine, waited until some were rented."""
     hosts = [host("m1", 4.0), host("m2", 4.0), host("m3", 4.0, run("r", 4, 5))]
     hosts[1].spot = hosts[2].spot = True
-    jobs = [entry("array", 4, 60, 1, tasks=2, patience_s=50.0)]
+    jobs = [entry("array", 4, 60, 1, tasks=2, slack_s=50.0)]
     scarce = {(TypeName("t4"), False): 1.0}
     assert [s.host for s in plan(Snapshot(hosts, jobs, scarcity=scarce), Policy()).starts] == [
         "m2"
     ]
-    jobs = [entry("array", 4, 60, 1, tasks=2, patience_s=50.0)]
+    jobs = [entry("array", 4, 60, 1, tasks=2, slack_s=50.0)]
     assert len(plan(Snapshot(hosts, jobs), Policy()).starts) == 2
 
 
@@ -483,24 +483,24 @@
     up = [(small, False), (big, False)]
     hosts = {
         HostId(f"{name}-{spot}"): SimpleNamespace(
-            type=name, spot=spot, draining=None, deleting=False, room=types[name].room
+            type=name, spot=spot, draining=None, deleting=False, capacity=types[name].capacity
         )
         for name, spot in up
     }
-    ledger: Any = SimpleNamespace(hosts=hosts, by_job={})
-    picture = Picture(
+    ledger: Any = SimpleNamespace(hosts=hosts, task_zones_by_job={})
+    picture = SnapshotBuilder(
         SimpleNamespace(objectives=()), ledger, None, types, Health(2), None  # type: ignore[arg-type]
     )  # fmt: skip
     wide = replace(decode_job_object(JOB), need=cpus(16.0), types=None, spot=True)
     jobs: Any = {wide.id: JobProgress(wide, {0, 1})}
-    picture.weigh(jobs, 0.0)  # type: ignore[arg-type]
+    picture.update_scarcity(jobs, 0.0)  # type: ignore[arg-type]
     assert picture.scarcity == {(big, True): 1.0, (big, False): 1.0}
     for number in range(3):
         hosts[HostId(f"s{number}")] = replace_spot(hosts[HostId("t32-False")])
-    picture.weigh(jobs, 1.0)  # type: ignore[arg-type]
+    picture.update_scarcity(jobs, 1.0)  # type: ignore[arg-type]
     assert picture.scarcity[big, True] == picture.scarcity[big, False] == 0.25
     steady = replace(wide, spot=False)
-    picture.weigh({steady.id: JobProgress(steady, {0, 1})}, 2.0)  # type: ignore[arg-type]
+    picture.update_scarcity({steady.id: JobProgress(steady, {0, 1})}, 2.0)  # type: ignore[arg-type]
     assert picture.scarcity[big, False] == 1.0 > picture.scarcity[big, True]
 
 
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -15,11 +15,11 @@
 import orjson
 import pytest
 
-from dunehold.bookkeeping.hosts import Host, Outcome
+from dunehold.bookkeeping.hosts import Host, ReportOutcome
 from dunehold.bookkeeping.ledger import Ledger
-from dunehold.coordination.durable import recorder
-from dunehold.coordination.election.feeding import Feeding
+from dunehold.coordination.election.lease_renewal import LeaseRenewal
 from dunehold.coordination.node import Node
+from dunehold.coordination.persistence import recorder
 from dunehold.coordination.term.delivery import Delivery
 from dunehold.emulator.agents.outside import WorkerAgent
 from dunehold.emulator.history import Event
@@ -63,7 +63,7 @@
 def test_without_its_guard_a_late_write_takes_newer_ones_back(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(recorder, "VERSIONED", ("nothing",))
+    monkeypatch.setattr(recorder, "VERSIONED_PREFIXES", ("nothing",))
     assert any(play(seed, late_writes).state.late.overwrote for seed in range(200, 203))
 
 
@@ -115,9 +115,9 @@
     """Who takes a machine that it can't hear for silent since the takeover runs tasks twice."""
 
     def at_once(self: Ledger, host: object, now: float) -> bool:
-        return not getattr(host, "known", True) and now > self.took_over_at + 2.0
+        return not getattr(host, "session_known", True) and now > self.took_over_at + 2.0
 
-    monkeypatch.setattr(Ledger, "_lease_over", at_once)
+    monkeypatch.setattr(Ledger, "_lease_expired", at_once)
     assert any(
         "ran_twice" in b or "quota" in b
         for b in broken_days(range(210, 216), leader_ends_before_the_deaf)
@@ -181,8 +181,8 @@
 def test_who_feeds_leases_without_proof_keeps_cancelled_tasks(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(Feeding, "allowed", lambda self, relaying=False: True)
-    monkeypatch.setattr(Node, "_passed_by", lambda self: None)
+    monkeypatch.setattr(LeaseRenewal, "allowed", lambda self, relaying=False: True)
+    monkeypatch.setattr(Node, "_on_cut_off_from_state", lambda self: None)
     assert any("ran_cancelled" in b for b in broken_days(range(220, 224), gap))
 
 
@@ -244,7 +244,7 @@
     async def tells_nobody(self: Delivery) -> None: ...
 
     monkeypatch.setattr("tests.test_rules.World", LongTasks)
-    monkeypatch.setattr(Feeding, "allowed", lambda self, relaying=False: True)
+    monkeypatch.setattr(LeaseRenewal, "allowed", lambda self, relaying=False: True)
     monkeypatch.setattr(Delivery, "probe_all", tells_nobody)
     broken = broken_days(range(230, 236), cut_off_leader)
     assert any("ran_cancelled" in b or "ran_twice" in b for b in broken)
@@ -318,7 +318,7 @@
 def test_tokens_that_are_not_raised_break_a_rule(monkeypatch: pytest.MonkeyPatch) -> None:
     """A new leader with its predecessor's token takes late reports for its own, and reuses
     attempts and rental names."""
-    begin = Node._begin
+    begin = Node._begin_term
 
     def with_the_old_token(self: Node, token: Token) -> None:
         begin(self, Token(1))
@@ -328,7 +328,7 @@
             _never_twice(world, patch)
             await round_dance(world)
 
-    monkeypatch.setattr(Node, "_begin", with_the_old_token)
+    monkeypatch.setattr(Node, "_begin_term", with_the_old_token)
     assert any("reused" in b for b in broken_days(range(240, 242), dance))
 
 
@@ -389,8 +389,8 @@
         done = await call(self, host)
         if not done:
             for run in list(host.runs.values()):
-                if run.unanswered and not run.seen:
-                    run.unanswered, run.in_reply = 0, False
+                if run.unanswered_starts and not run.reported:
+                    run.unanswered_starts, run.in_report_response = 0, False
                     self.ledger.withdraw(run)
         return done
 
@@ -496,13 +496,16 @@
 
     def whichever(
         self: Ledger, report: Report, now: MonotonicTime, direct: bool = False
-    ) -> Outcome:
+    ) -> ReportOutcome:
         host = self.hosts.get(report.host)
         if host is not None:
-            host.dead_session = Session(0)
+            host.expired_session = Session(0)
             if report.session >= host.session:
                 host.sequence = Sequence(0)
-            host.newest = Session(0), Sequence(0)  # nor is it dropped before it is looked at
+            host.newest_report = (
+                Session(0),
+                Sequence(0),
+            )  # nor is it dropped before it is looked at
         return ingest(self, report, now, direct)
 
     monkeypatch.setattr(Ledger, "ingest", whichever)
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -10,26 +10,28 @@
 import orjson
 import pytest
 
-from dunehold.bookkeeping.disruptions import Disruptions
+from dunehold.bookkeeping.disruptions import DisruptionTracker
 from dunehold.bookkeeping.hosts import Host, Run
-from dunehold.budgets import Amount, Budget, Budgets
-from dunehold.coordination.durable.recorder import Recorder
-from dunehold.coordination.upkeep.care import Care, Cut
+from dunehold.budgets import Amount, DisruptionBudget, DisruptionBudgets
+from dunehold.coordination.maintenance.controller import MaintenanceController, StopGroup
+from dunehold.coordination.persistence.recorder import Recorder
 from dunehold.transport.http import NoResponse
-from dunehold.types import Duration, JobId, Kind
+from dunehold.types import Duration, JobId, JobKind
 from tests.test_rules import crashes, play
 from tests.test_zone_loss import cut_off
 from tests.world import ZONES, World
 
 ORDERS = "/operators/orders"
 WINDOW_S = 15.0
-BUDGET = Budget(Amount(4), Amount(16.0), Amount(1), Amount(share=0.5), Duration(WINDOW_S))
+BUDGET = DisruptionBudget(
+    Amount(4), Amount(16.0), Amount(1), Amount(share=0.5), Duration(WINDOW_S)
+)
 
 
 class Ordered(World):
     """Some more machines, budgets, and what was stopped by choice written down beside them."""
 
-    budgets = Budgets(BUDGET)
+    budgets = DisruptionBudgets(BUDGET)
 
     def __init__(self, *arguments: Any, **options: Any) -> None:
         super().__init__(*arguments, **options)
@@ -101,15 +103,15 @@
 def stops(monkeypatch: pytest.MonkeyPatch) -> Stops:
     """What is stopped by choice, by whichever leader."""
     found: Stops = []
-    stop = Care._stop
+    stop = MaintenanceController._stop_run
 
-    def noted(self: Care, run: Run, cut: Cut) -> None:
+    def noted(self: MaintenanceController, run: Run, cut: StopGroup) -> None:
         stop(self, run, cut)
-        if run.stop_grace is not None:
+        if run.stop_grace_s is not None:
             at = asyncio.get_running_loop().time()
             found.append((at, run.team, run.id.task.job, run.need.cpus, run.service))
 
-    monkeypatch.setattr(Care, "_stop", noted)
+    monkeypatch.setattr(MaintenanceController, "_stop_run", noted)
     monkeypatch.setattr("tests.test_rules.World", Ordered)
     return found
 
@@ -224,7 +226,7 @@
 def test_without_the_ledgers_question_starts_land_on_machines_out_of_service(
     monkeypatch: pytest.MonkeyPatch, stops: Stops
 ) -> None:
-    monkeypatch.setattr(Care, "closed", lambda self, host: None)
+    monkeypatch.setattr(MaintenanceController, "out_of_service_order", lambda self, host: None)
     landed: list[str] = []
     for seed in range(310, 313):
         world = play(seed, drain_a_zone, nodes=5)
@@ -247,7 +249,7 @@
 
     seeds = range(330, 334)
     tight = replace(BUDGET, tasks=Amount(1), window_s=Duration(30.0))
-    monkeypatch.setattr(Ordered, "budgets", Budgets(tight))
+    monkeypatch.setattr(Ordered, "budgets", DisruptionBudgets(tight))
 
     def played() -> list[str]:
         found = []
@@ -258,7 +260,7 @@
         return found
 
     assert not played()
-    monkeypatch.setattr(Disruptions, "restore", lambda *_: None)
+    monkeypatch.setattr(DisruptionTracker, "restore", lambda *_: None)
     assert played()
 
 
@@ -335,7 +337,7 @@
     seeds = range(350, 353)
     known = [play(seed, window_ahead) for seed in seeds]
     assert not any(world.landed for world in known if isinstance(world, Ordered))
-    monkeypatch.setattr(Care, "closes_at", lambda *_: float("inf"))
+    monkeypatch.setattr(MaintenanceController, "out_of_service_at", lambda *_: float("inf"))
     unknown = [play(seed, window_ahead) for seed in seeds]
     assert sum(w.waited for w in known) < sum(w.waited for w in unknown)
 
@@ -344,7 +346,7 @@
     monkeypatch: pytest.MonkeyPatch, stops: Stops
 ) -> None:
     """Moves, lifts and preemption are choices, too."""
-    monkeypatch.setattr(Ordered, "budgets", Budgets(BUDGET, bind_all=True))
+    monkeypatch.setattr(Ordered, "budgets", DisruptionBudgets(BUDGET, bind_all=True))
     for seed in range(360, 363):
         stops.clear()
         assert play(seed, crashes).checker.starts > 20
@@ -355,15 +357,15 @@
     monkeypatch: pytest.MonkeyPatch, stops: Stops
 ) -> None:
     below: list[str] = []
-    stop = Care._stop
+    stop = MaintenanceController._stop_run
 
-    def checked(self: Care, run: Run, cut: Cut) -> None:
+    def checked(self: MaintenanceController, run: Run, cut: StopGroup) -> None:
         job = run.id.task.job
-        up = self._up(job)
+        up = self._replicas_up(job)
         stop(self, run, cut)
         record = self.view.active.get(JobId(job))
-        if run.service and run.stop_grace is not None and record is not None and record.spec:
-            assert record.spec.kind is Kind.SERVICE
+        if run.service and run.stop_grace_s is not None and record is not None and record.spec:
+            assert record.spec.kind is JobKind.SERVICE
             if up - 1 < 0.5 * record.spec.tasks:
                 below.append(f"{job}: {up - 1} of {record.spec.tasks}")
 
@@ -374,7 +376,7 @@
             job |= {"flavours": None, "together": False, "spread": False, "broken": False}
         return job
 
-    monkeypatch.setattr(Care, "_stop", checked)
+    monkeypatch.setattr(MaintenanceController, "_stop_run", checked)
     monkeypatch.setattr(Ordered, "make_job", make_job)
     for seed in range(370, 373):
         play(seed, replace_and_crashes, nodes=5)
@@ -385,17 +387,17 @@
 def test_a_host_marked_by_an_order_gives_its_planned_starts_back() -> None:
     """A start that nobody can have carried out is taken back as the order comes."""
     taken: list[str] = []
-    mark, log_start = Care.mark, Recorder.log_start
+    mark, log_start = MaintenanceController.apply_orders, Recorder.log_start
 
     def slowly(self: Recorder, run: Run) -> None:
         asyncio.get_running_loop().call_later(0.5, log_start, self, run)
 
-    def noted(self: Care) -> None:
+    def noted(self: MaintenanceController) -> None:
         planned = {
             run.id: host
             for host in self.ledger.hosts.values()
             for run in host.runs.values()
-            if run.unsent and self.closed(host) is not None
+            if run.unsent and self.out_of_service_order(host) is not None
         }
         mark(self)
         for attempt, host in planned.items():
@@ -404,7 +406,7 @@
 
     with pytest.MonkeyPatch.context() as patch:
         patch.setattr("tests.test_rules.World", Ordered)
-        patch.setattr(Care, "mark", noted)
+        patch.setattr(MaintenanceController, "apply_orders", noted)
         patch.setattr(Recorder, "log_start", slowly)
         for seed in range(310, 316):
             play(seed, drain_a_zone, nodes=3)
--- a/tests/test_packs.py
+++ b/tests/test_packs.py
@@ -16,26 +16,26 @@
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule
 
 from dunehold.bookkeeping import records
-from dunehold.bookkeeping.packs.rows import (
-    Accepted,
-    Ended,
-    EndPacker,
-    Packer,
-    decode_accepted,
-    decode_ended,
-    own_bytes,
+from dunehold.bookkeeping.batches.encoding import (
+    AcceptedJob,
+    CompletedJob,
+    CompletionBatchBuilder,
+    JobBatchBuilder,
+    decode_completion_batch,
+    decode_job_batch,
+    single_job_batch_bytes,
 )
 from dunehold.bookkeeping.view import View
-from dunehold.coordination.durable.ends import Ends, Sweeper
-from dunehold.coordination.durable.sync import Sync
-from dunehold.coordination.users.submissions import Submissions, _Batch, _Submission
+from dunehold.coordination.persistence.completions import CompletionWriter, GarbageCollector
+from dunehold.coordination.persistence.sync import ViewSync
+from dunehold.coordination.users.submissions import SubmissionQueue, _Submission, _SubmissionTxn
 from dunehold.emulator.model.base import Reply
 from dunehold.emulator.model.store import Limits, Store
 from dunehold.protocol import codec
 from dunehold.protocol.codec import BadMessage
 from dunehold.protocol.state import Change, Entry, Malformed, Txn, TxnResult
 from dunehold.protocol.users import JobSpec, decode_job
-from dunehold.transport.budget import Budget
+from dunehold.transport.rate_limiter import RateLimiter
 from dunehold.types import Duration, JobId, JobPhase, Revision, Token, WallTime
 from tests.test_rules import bad_nights, crashes, cuts, outages, play, quiet
 from tests.world import World
@@ -84,31 +84,33 @@
 def test_a_pack_gives_back_what_was_put_in_and_fits(
     changes: list[dict[str, Any]], room: int
 ) -> None:
-    packer = Packer(room)
-    jobs = [Accepted(spec(n, **c), WallTime(NOW + n)) for n, c in enumerate(changes)]
+    packer = JobBatchBuilder(room)
+    jobs = [AcceptedJob(spec(n, **c), WallTime(NOW + n)) for n, c in enumerate(changes)]
     kept = [job for job in jobs if packer.add(job)]
     value = codec.load(codec.dump(packer.value()))
-    assert len(codec.dump(value)) <= packer.size <= room
-    assert decode_accepted(value) == kept
-    assert all(job in kept for job in jobs[:1] if own_bytes(*job) <= room)
+    assert len(codec.dump(value)) <= packer.size_bytes <= room
+    assert decode_job_batch(value) == kept
+    assert all(job in kept for job in jobs[:1] if single_job_batch_bytes(*job) <= room)
 
 
 def test_a_swarm_shrinks_to_a_tenth() -> None:
-    packer = Packer(3072)
-    count = sum(packer.add(Accepted(spec(n, expect_s=4.0 + n / 8), NOW)) for n in range(1000))
+    packer = JobBatchBuilder(3072)
+    count = sum(
+        packer.add(AcceptedJob(spec(n, expect_s=4.0 + n / 8), NOW)) for n in range(1000)
+    )
     assert count >= 40
-    assert own_bytes(spec(1), NOW) * count > 5 * packer.size
+    assert single_job_batch_bytes(spec(1), NOW) * count > 5 * packer.size_bytes
 
 
 @given(st.lists(st.tuples(st.integers(0, 10**9), st.integers(1, 100_000)), max_size=200))
 @settings(max_examples=30, deadline=None)
 def test_ends_come_back_as_they_were(ends: list[tuple[int, int]]) -> None:
-    packer = EndPacker(1024)
-    rows = [Ended(JobId(f"job-{n:06d}"), tasks, NOW) for n, tasks in ends]
+    packer = CompletionBatchBuilder(1024)
+    rows = [CompletedJob(JobId(f"job-{n:06d}"), tasks, NOW) for n, tasks in ends]
     kept = [end for end in rows if packer.add(end)]
     value = codec.load(codec.dump(packer.value()))
     assert len(codec.dump(value)) <= 1024
-    assert decode_ended(value) == kept
+    assert decode_completion_batch(value) == kept
 
 
 @pytest.mark.parametrize(
@@ -118,10 +120,10 @@
 )  # fmt: skip
 def test_a_malformed_pack_is_told_and_changes_nothing(value: Any) -> None:
     with pytest.raises(BadMessage):
-        decode_accepted(value)
+        decode_job_batch(value)
     view = View()
-    view.apply([Change(records.PACKS + "x.1", value, Revision(1), False)], Revision(1))
-    assert not view.jobs and not view.shelf.live
+    view.apply([Change(records.JOB_BATCHES + "x.1", value, Revision(1), False)], Revision(1))
+    assert not view.jobs and not view.job_batches.live
 
 
 # -- of many writers with old views, one is first, and it is the same one for everybody ------
@@ -134,8 +136,8 @@
         self.view = View()
         state: Any = None
         sync: Any = None
-        self.submissions = Submissions(config, state, self.view, sync, name)
-        self.ends = Ends(config, Token(1 + int(name[1:])), lambda: 1.0)
+        self.submissions = SubmissionQueue(config, state, self.view, sync, name)
+        self.ends = CompletionWriter(config, Token(1 + int(name[1:])), lambda: 1.0)
         self.told: dict[str, str] = {}
 
 
@@ -186,16 +188,16 @@
     )
     def submit_packed(self, who: int, jobs: set[int], unit: int) -> None:
         writer = self.writers[who]
-        batch = writer.submissions._packed(self.entries(writer, jobs, unit), 11)
+        batch = writer.submissions._build_batches(self.entries(writer, jobs, unit), 11)
         if batch.entries and self.write(batch.txn):
             self.read_back(writer, batch)
 
-    def read_back(self, writer: Writer, batch: _Batch) -> None:
+    def read_back(self, writer: Writer, batch: _SubmissionTxn) -> None:
         self.catch_up(writer)
         for entry in batch.entries:
             job = entry.spec.id
             record = writer.view.jobs[job]
-            if writer.submissions._ours(batch, job):
+            if writer.submissions._was_created_here(batch, job):
                 assert job not in self.accepted, f"{job} accepted twice"
                 assert record.spec == entry.spec
             self.accepted.add(job)
@@ -204,7 +206,7 @@
     @rule(who=st.integers(0, 2), job=st.integers(1, 6), unit=st.integers(1, 4))
     def submit_single(self, who: int, job: int, unit: int) -> None:
         writer = self.writers[who]
-        batch = writer.submissions._singles(self.entries(writer, {job}, unit), 12)
+        batch = writer.submissions._build_singles(self.entries(writer, {job}, unit), 12)
         if not batch.entries or not self.write(batch.txn):
             return
         if batch.read_back:
@@ -218,7 +220,7 @@
         future: Any = None
         specs = [spec(job, units=unit) for job in sorted(jobs)]
         return [
-            _Submission(s, NOW, own_bytes(s, NOW), future)
+            _Submission(s, NOW, single_job_batch_bytes(s, NOW), future)
             for s in specs
             if s.id not in writer.view.jobs
         ]
@@ -244,7 +246,7 @@
             record = writer.view.active.get(JobId(f"job-{job:06d}"))
             if record is None:
                 continue
-            if record.pack is not None:
+            if record.batch_key is not None:
                 assert writer.ends.add(txn, record, 12 - txn.size)
             else:
                 key = records.job_key(record.id)
@@ -257,8 +259,10 @@
     def sweep(self, who: int, calm: bool) -> None:
         writer = self.writers[who]
         state: Any = Idle
-        sweeper = Sweeper(Settings, state, writer.view, Revision(0), lambda: 1e3 * calm)
-        sweeper._shelved = writer.view.shelf.count, 0.0
+        sweeper = GarbageCollector(
+            Settings, state, writer.view, Revision(0), lambda: 1e3 * calm
+        )
+        sweeper._last_batch_change = writer.view.job_batches.count, 0.0
         txn = sweeper.transaction()
         if txn is not None:
             txn.guards.pop(records.LEADER_KEY)
@@ -272,7 +276,12 @@
     def load_while_others_write(self, who: int, job: int, other: int) -> None:
         """A listing whose pages are of different moments, then what changed since."""
         rows: list[Entry] = []
-        prefixes = [records.ENDS, records.JOBS, records.PACKS, records.PACKING]
+        prefixes = [
+            records.COMPLETION_BATCHES,
+            records.JOBS,
+            records.JOB_BATCHES,
+            records.BATCHING_ENABLED,
+        ]
         first = None
         steps: list[Callable[[], None]] = [
             lambda: self.cancel(other, job),
@@ -303,15 +312,15 @@
                 continue
             assert set(writer.view.jobs) == set(fresh.jobs)
             assert set(writer.view.active) == set(fresh.active)
-            assert set(writer.view.shelf.live) == set(fresh.shelf.live)
-            assert set(writer.view.shelf.spent) == set(fresh.shelf.spent)
+            assert set(writer.view.job_batches.live) == set(fresh.job_batches.live)
+            assert set(writer.view.job_batches.obsolete) == set(fresh.job_batches.obsolete)
             for job, record in fresh.jobs.items():
                 mine = writer.view.jobs[job]
                 assert (mine.phase, mine.version, mine.tasks) == (
                     record.phase, record.version, record.tasks,
                 )  # fmt: skip
                 if not record.phase.final:
-                    assert (mine.spec, mine.pack) == (record.spec, record.pack)
+                    assert (mine.spec, mine.batch_key) == (record.spec, record.batch_key)
         for job, phase in self.finals.items():
             assert fresh.jobs[JobId(job)].phase.value == phase
 
@@ -319,7 +328,7 @@
 class Idle:
     """A state service's client whose budget is not used."""
 
-    class writes:
+    class write_limiter:
         @staticmethod
         def wait_s(amount: float) -> float:
             return 0.0
@@ -348,7 +357,10 @@
     store = Store(Limits(None, None, 4096, 12))
     value = records.encode_job_record(job, JobPhase.ACTIVE, NOW)
     rows = {records.job_key(job.id): value}
-    rows |= {records.mark_key(job.id, page): records.encode_bitmap(7) for page in range(24)}
+    rows |= {
+        records.completion_bitmap_key(job.id, page): records.encode_bitmap(7)
+        for page in range(24)
+    }
 
     def write(txn: Txn) -> None:
         answer = store.handle("POST", "/txn", txn.encode(), "n", 0.0)
@@ -368,19 +380,19 @@
 
     for key, content in rows.items():
         write(Txn(puts={key: content}))
-    assert not view.spent_marks
+    assert not view.obsolete_bitmaps
     record = view.active[job.id]
     end = Txn(puts={records.job_key(job.id): records.encode_done(record)})
-    end.deletes = {records.mark_key(job.id, page) for page in range(11)}
+    end.deletes = {records.completion_bitmap_key(job.id, page) for page in range(11)}
     write(end)
     state: Any = Idle
-    sweeper = Sweeper(Settings, state, view, Revision(0), lambda: 0.0)
+    sweeper = GarbageCollector(Settings, state, view, Revision(0), lambda: 0.0)
     sweeps = 0
     while (txn := sweeper.transaction()) is not None:
         txn.guards.pop(records.LEADER_KEY)
         write(txn)
         sweeps += 1
-    assert sweeps == 3 and not view.spent_marks
+    assert sweeps == 3 and not view.obsolete_bitmaps
     assert set(store.rows) == {records.job_key(job.id)}
     assert view.jobs[job.id].phase is JobPhase.DONE
 
@@ -392,13 +404,13 @@
     """A state service's client that takes no transaction with a certain job in it."""
 
     def __init__(self, view: View, poison: str, rate: float = 1000.0) -> None:
-        self.writes = Budget(rate, 12.0)
+        self.write_limiter = RateLimiter(rate, 12.0)
         self.view, self.poison = view, poison
         self.revision = 0
         self.sizes: list[int] = []
 
-    async def txn(self, txn: Txn, priority: int, paid: bool = False) -> TxnResult:
-        assert paid
+    async def txn(self, txn: Txn, priority: int, pre_acquired: bool = False) -> TxnResult:
+        assert pre_acquired
         await asyncio.sleep(0.01)
         if self.poison.encode() in txn.encode():
             raise Malformed("400")
@@ -422,8 +434,8 @@
     async def submit() -> tuple[list[bool | None], list[int]]:
         view = View()
         state: Any = Choosy(view, "job-000007", rate)
-        submissions = Submissions(Settings, state, view, state, "n0")
-        writes = [submissions.write(spec(n), NOW) for n in range(30)]
+        submissions = SubmissionQueue(Settings, state, view, state, "n0")
+        writes = [submissions.submit(spec(n), NOW) for n in range(30)]
         return [w.created for w in await asyncio.gather(*writes)], state.sizes
 
     outcomes, _ = asyncio.run(submit())
@@ -439,15 +451,15 @@
     async def submit() -> tuple[list[float], int]:
         view = View()
         state: Any = Choosy(view, "nobody", 2.0)
-        state.writes = Budget(2.0, 2.0)
-        submissions = Submissions(Settings, state, view, state, "n0")
+        state.write_limiter = RateLimiter(2.0, 2.0)
+        submissions = SubmissionQueue(Settings, state, view, state, "n0")
         waits = []
 
         async def one(number: int) -> None:
             await asyncio.sleep(number * 0.01)
             if submissions.wait_s() <= 0.5:
                 waits.append(submissions.wait_s())
-                assert await submissions.write(spec(number), NOW)
+                assert await submissions.submit(spec(number), NOW)
 
         await asyncio.gather(*map(one, range(200)))
         return waits, sum(state.sizes)
@@ -483,14 +495,14 @@
 
         async def changes(self, *_: Any) -> tuple[list[Change], Revision]:
             news = [
-                Change(records.ENDS + "1.1", end, Revision(8), False),
+                Change(records.COMPLETION_BATCHES + "1.1", end, Revision(8), False),
                 Change(records.job_key(job.id), cancelled, Revision(9), False),
             ]
             return news, Revision(9)
 
     state: Any = Listing()
     view = View()
-    sync = Sync(state, view, lambda jobs: None, Duration(0.1), Duration(0.1))
+    sync = ViewSync(state, view, lambda jobs: None, Duration(0.1), Duration(0.1))
     asyncio.run(sync.load())
     assert view.jobs[job.id].phase is JobPhase.DONE
 
@@ -528,7 +540,9 @@
 def test_swarms_keep_the_rules(seed: int, faults: Any, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr("tests.test_rules.World", Swarms)
     world = play(seed, faults)
-    packs = [key for key in world.state.store.rows if key.startswith(records.ENDS)]
+    packs = [
+        key for key in world.state.store.rows if key.startswith(records.COMPLETION_BATCHES)
+    ]
     assert packs, "nothing was packed"
     swarm = [job for job in world.made if job["uid"] >= "job-500000"]
     over = [job for job in swarm if job["uid"] in world.told]
--- a/tests/test_protocol.py
+++ b/tests/test_protocol.py
@@ -10,7 +10,7 @@
 
 from dunehold.protocol import users
 from dunehold.protocol.codec import BadMessage
-from dunehold.settings import SettingsError, load_operator
+from dunehold.settings import SettingsError, load_operator_settings
 
 JOB: dict[str, Any] = {
     "uid": "job-000412",
@@ -91,11 +91,11 @@
     path = tmp_path / "operator.sexp"
     path.write_text(text)
     with pytest.raises(SettingsError):
-        load_operator(path)
+        load_operator_settings(path)
 
 
 def test_shipped_operator_settings_are_the_defaults() -> None:
     from dunehold.settings import OperatorSettings
 
     root = Path(__file__).resolve().parent.parent
-    assert load_operator(root / "deploy" / "operator.sexp") == OperatorSettings()
+    assert load_operator_settings(root / "deploy" / "operator.sexp") == OperatorSettings()
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -10,8 +10,8 @@
 import pytest
 
 from dunehold.bookkeeping.ledger import Ledger
+from dunehold.coordination.election.connectivity import Connectivity
 from dunehold.coordination.election.relay import Relay
-from dunehold.coordination.election.sight import Sight
 from dunehold.coordination.node import Node
 from dunehold.coordination.term.leader import Leader
 from dunehold.emulator.model.cloud import Boots
@@ -265,10 +265,10 @@
     """A ledger that takes silence for absence must break a rule, or the tests are blind."""
 
     def gone_at_once(self: Ledger, host: object, now: float) -> bool:
-        fed_at = getattr(host, "fed_at", None)
+        fed_at = getattr(host, "lease_renewed_at", None)
         return fed_at is not None and now > fed_at + 3.0
 
-    monkeypatch.setattr(Ledger, "_lease_over", gone_at_once)
+    monkeypatch.setattr(Ledger, "_lease_expired", gone_at_once)
     with pytest.raises(RuleBroken, match=r"ran_twice|quota"):
         for seed in range(10, 16):
             play(seed, cuts)
@@ -296,7 +296,7 @@
     """After an outage, or a standstill, the whole fleet seemed to have been silent."""
     monkeypatch.setattr("tests.test_rules.World", Kept)
     assert min(play(seed, long_outage).kept for seed in range(90, 93)) > 0.8
-    monkeypatch.setattr(Leader, "_notice_standstill", lambda *_: None)
+    monkeypatch.setattr(Leader, "_detect_stall", lambda *_: None)
     assert min(play(seed, long_outage).kept for seed in range(90, 93)) < 0.7
 
 
@@ -340,7 +340,7 @@
     async def never(self: Node) -> bool:
         return False
 
-    monkeypatch.setattr(Sight, "workers_silent", never)
+    monkeypatch.setattr(Connectivity, "workers_silent", never)
     before = [play(seed, whole_fleet_lost, nodes=5) for seed in (52, 60, 61)]
     waited = [sum(world.waited for world in worlds) for worlds in (mended, before)]
     assert waited[0] < 0.8 * waited[1], waited
@@ -372,7 +372,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     mended = [play(seed, zone_lost_with_leader, nodes=5) for seed in (52, 53, 54)]
-    monkeypatch.setattr(Leader, "_finding_s", lambda _: 1e9)
+    monkeypatch.setattr(Leader, "_discovery_timeout_s", lambda _: 1e9)
     before = [play(seed, zone_lost_with_leader, nodes=5) for seed in (52, 53, 54)]
     waited = [sum(world.waited for world in worlds) for worlds in (mended, before)]
     assert waited[0] < 0.8 * waited[1], waited
@@ -396,5 +396,5 @@
 
     async def keeps(self: Node, lease: object) -> None: ...
 
-    monkeypatch.setattr(Node, "_resign", keeps)
+    monkeypatch.setattr(Node, "_release_lease", keeps)
     assert play(51, handed_over).waited > 2.0
--- a/tests/test_transport.py
+++ b/tests/test_transport.py
@@ -9,7 +9,6 @@
 
 import pytest
 
-from dunehold.transport.budget import Budget
 from dunehold.transport.http import (
     HttpClient,
     HttpServer,
@@ -18,6 +17,7 @@
     Request,
     Response,
 )
+from dunehold.transport.rate_limiter import RateLimiter
 from tests.virtual import VirtualLoop
 
 
@@ -139,13 +139,13 @@
     loop = VirtualLoop()
     served_at: list[tuple[float, int]] = []
 
-    async def ask(budget: Budget, priority: int, at: float) -> None:
+    async def ask(budget: RateLimiter, priority: int, at: float) -> None:
         await asyncio.sleep(at)
-        await budget.take(priority)
+        await budget.acquire(priority)
         served_at.append((loop.time(), priority))
 
     async def run() -> None:
-        budget = Budget(10.0, 5.0)
+        budget = RateLimiter(10.0, 5.0)
         asks = [ask(budget, rng.randrange(4), rng.uniform(0.0, 3.0)) for _ in range(120)]
         # A lease renewal goes before whatever waits.
         renewals = [ask(budget, -1, 3.0 + n) for n in range(5)]
@@ -165,12 +165,12 @@
     loop = VirtualLoop()
 
     async def run() -> int:
-        budget = Budget(10.0, 5.0)
-        await budget.take(0)
+        budget = RateLimiter(10.0, 5.0)
+        await budget.acquire(0)
         await asyncio.sleep(60.0)
         count = 0
         while budget.wait_s() <= 0.0:
-            await budget.take(0)
+            await budget.acquire(0)
             count += 1
         return count
 
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -269,14 +269,14 @@
     async def day(world: World) -> None:
         node = world.nodes[0].node
         assert node is not None
-        before = node.state.writes.rate
+        before = node.state.write_limiter.rate
         for pause in (0.0, 20.0, 20.0, 20.0):
             await asyncio.sleep(pause)
             node.state.on_limited()
-        world.met["kept"] = node.state.writes.rate == before and not node._rates_fell
+        world.met["kept"] = node.state.write_limiter.rate == before and not node._rates_fell
         for _ in range(3):
             node.state.on_limited()
-        world.met["fell"] = node._rates_fell and node.state.writes.rate < before
+        world.met["fell"] = node._rates_fell and node.state.write_limiter.rate < before
 
     with pytest.MonkeyPatch.context() as patch:
         patch.setattr(world_module, "LATER_WRITE_RPS", 25.0)
@@ -292,14 +292,14 @@
     view = View()
     entries = [Entry(key, value, Revision(stamp)) for key, value, stamp in rows]
     view.load(entries, Revision(max(stamp for *_, stamp in rows)))
-    view.link()
+    view.resolve_dependencies()
     for key, value, stamp in rows:  # and one by one, as they were written
         view.apply([Change(key, value, Revision(stamp), False)], Revision(stamp))
     kinds = {key.split("/")[1] for key, *_ in rows}
     assert {"leader", "token", "jobs", "hosts", "starts"} <= kinds
     assert {record.phase for record in view.jobs.values()} == set(JobPhase)
-    assert view.hosts and view.leader and any(view.starts.values())
-    assert not view.needs.waits
+    assert view.hosts and view.leader and any(view.start_log.values())
+    assert not view.dependency_index.pending
 
 
 def test_recorded_values_of_the_version_in_production_are_read() -> None:
--- a/tests/test_upkeep.py
+++ b/tests/test_upkeep.py
@@ -12,23 +12,23 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
-from dunehold.bookkeeping.disruptions import Disruptions, Hit, Whole
+from dunehold.bookkeeping.disruptions import Disruption, DisruptionTracker, TeamTotals
 from dunehold.bookkeeping.orders import (
-    Progress,
+    OrderProgress,
     Stage,
     decode_order,
     decode_progress,
     encode_order,
     encode_progress,
 )
-from dunehold.budgets import Amount, Budget, Budgets
-from dunehold.coordination.upkeep import draining, scope, steps
-from dunehold.coordination.upkeep.draining import Aboard
-from dunehold.coordination.upkeep.steps import Fresh, Old, Seen
-from dunehold.operating import moment_s, span_s
+from dunehold.budgets import Amount, DisruptionBudget, DisruptionBudgets
+from dunehold.coordination.maintenance import draining, replacement, scope
+from dunehold.coordination.maintenance.draining import DrainCandidate
+from dunehold.coordination.maintenance.replacement import FreshHost, Observation, OldHost
+from dunehold.operator_commands import parse_duration_s, parse_time_s
 from dunehold.protocol.codec import BadMessage
-from dunehold.protocol.operators import Order, OrderKind, Selection, read_order
-from dunehold.settings import SettingsError, load_operator
+from dunehold.protocol.operators import Order, OrderKind, Selection, decode_order_fields
+from dunehold.settings import SettingsError, load_operator_settings
 from dunehold.types import (
     Attempt,
     AttemptId,
@@ -47,8 +47,8 @@
 )
 
 BLUE, RED = Team("blue"), Team("red")
-BUDGET = Budget(Amount(3), Amount(12.0), Amount(1), Amount(2), Duration(20.0))
-BUDGETS = Budgets(BUDGET, {RED: replace(BUDGET, tasks=Amount(share=0.5))})
+BUDGET = DisruptionBudget(Amount(3), Amount(12.0), Amount(1), Amount(2), Duration(20.0))
+BUDGETS = DisruptionBudgets(BUDGET, {RED: replace(BUDGET, tasks=Amount(share=0.5))})
 
 
 class Spending(RuleBasedStateMachine):
@@ -65,7 +65,7 @@
         self.lead()
 
     def lead(self) -> None:
-        self.books = Disruptions(BUDGETS)
+        self.books = DisruptionTracker(BUDGETS)
         self.books.restore(self.record, MonotonicTime(self.now), WallTime(self.now))
         self.known: set[TaskId] = set()
 
@@ -73,11 +73,11 @@
     def stop(self, team: Team, cpus: float) -> None:
         self.number += 1
         task = TaskId(JobId(f"job-{self.number:06d}"), 0)
-        hit = Hit(team, task.job, 1, cpus)
-        if self.books.refusal(hit, Whole(8, 100.0)) is not None:
+        hit = Disruption(team, task.job, 1, cpus)
+        if self.books.refusal(hit, TeamTotals(8, 100.0)) is not None:
             return
-        self.record = self.books.record([hit], MonotonicTime(self.now), WallTime(self.now))
-        self.books.note(hit, task, MonotonicTime(self.now), choice=True)
+        self.record = self.books.encode([hit], MonotonicTime(self.now), WallTime(self.now))
+        self.books.add(hit, task, MonotonicTime(self.now), choice=True)
         self.granted.append((self.now, team, task))
         self.away[task] = team
         self.known.add(task)
@@ -87,19 +87,19 @@
         tasks = sorted(self.away)
         if tasks:
             task = tasks[index % len(tasks)]
-            self.books.restored(task)
+            self.books.task_restored(task)
             del self.away[task]
 
     @rule(team=st.sampled_from([BLUE, RED]))
     def is_lost(self, team: Team) -> None:
         self.number += 1
         task = TaskId(JobId(f"job-{self.number:06d}"), 0)
-        self.books.note(Hit(team, task.job, 1, 1.0), task, MonotonicTime(self.now), False)
+        self.books.add(Disruption(team, task.job, 1, 1.0), task, MonotonicTime(self.now), False)
 
     @rule(seconds=st.floats(0.5, 15.0))
     def time_passes(self, seconds: float) -> None:
         self.now += seconds
-        self.books.step(MonotonicTime(self.now))
+        self.books.expire(MonotonicTime(self.now))
 
     @rule()
     def next_leader(self) -> None:
@@ -128,40 +128,40 @@
 
 def test_a_leader_that_forgets_spends_twice() -> None:
     """The record and the window from the takeover on are what keep it from that."""
-    books = Disruptions(BUDGETS)
-    hit = Hit(BLUE, JobId("job-000001"), 3, 3.0)
+    books = DisruptionTracker(BUDGETS)
+    hit = Disruption(BLUE, JobId("job-000001"), 3, 3.0)
     now, wall = MonotonicTime(50.0), WallTime(5e8)
-    record = books.record([hit], now, wall)
+    record = books.encode([hit], now, wall)
     later, later_wall = MonotonicTime(7.0), WallTime(wall + 19.0)  # another clock
-    heir, forgetful = Disruptions(BUDGETS), Disruptions(BUDGETS)
+    heir, forgetful = DisruptionTracker(BUDGETS), DisruptionTracker(BUDGETS)
     heir.restore(record, later, later_wall)
-    one = Hit(BLUE, JobId("job-000002"), 1, 1.0)
-    assert forgetful.refusal(one, Whole(8, 100.0)) is None
-    assert heir.refusal(one, Whole(8, 100.0)) == "team blue: 3 of its tasks at once"
-    heir.step(MonotonicTime(later + 19.0))
-    assert heir.refusal(one, Whole(8, 100.0)) is not None  # its window counts from now
-    heir.step(MonotonicTime(later + 20.5))
-    assert heir.refusal(one, Whole(8, 100.0)) is None
+    one = Disruption(BLUE, JobId("job-000002"), 1, 1.0)
+    assert forgetful.refusal(one, TeamTotals(8, 100.0)) is None
+    assert heir.refusal(one, TeamTotals(8, 100.0)) == "team blue: 3 of its tasks at once"
+    heir.expire(MonotonicTime(later + 19.0))
+    assert heir.refusal(one, TeamTotals(8, 100.0)) is not None  # its window counts from now
+    heir.expire(MonotonicTime(later + 20.5))
+    assert heir.refusal(one, TeamTotals(8, 100.0)) is None
     with pytest.raises(BadMessage):
         heir.restore({"f": 2, "rows": []}, later, wall)
     # What can't be read is taken for spent, of every team, for a window.
     heir.block([BLUE, RED], later)
     for team in (BLUE, RED):
         for service in (False, True):
-            hit = Hit(team, JobId("job-000003"), 1, 1.0, service)
-            assert heir.refusal(hit, Whole(8, 100.0), replicas=4, up=4) is not None
-    heir.step(MonotonicTime(later + 20.5))
-    assert heir.refusal(one, Whole(8, 100.0)) is None
+            hit = Disruption(team, JobId("job-000003"), 1, 1.0, service)
+            assert heir.refusal(hit, TeamTotals(8, 100.0), replicas=4, up=4) is not None
+    heir.expire(MonotonicTime(later + 20.5))
+    assert heir.refusal(one, TeamTotals(8, 100.0)) is None
 
 
 # -- what is stopped ---------------------------------------------------------------------------
 
 
-def aboard(rng: random.Random, number: int) -> Aboard:
+def aboard(rng: random.Random, number: int) -> DrainCandidate:
     service = rng.random() < 0.2
     gang = 0 if service or rng.random() < 0.8 else 3
     job = JobId(f"job-{rng.randrange(6) + (10 if service else 20 if gang else 0):06d}")
-    return Aboard(
+    return DrainCandidate(
         AttemptId(TaskId(job, number), Attempt(number + 1)),
         rng.choice([BLUE, RED]),
         Rank(rng.randrange(4)),
@@ -185,8 +185,8 @@
 ) -> None:
     rng = random.Random(seed)
     runs = [aboard(rng, number) for number in range(rng.randrange(1, 30))]
-    books = Disruptions(BUDGETS)
-    wholes = {BLUE: Whole(20, 60.0), RED: Whole(20, 60.0)}
+    books = DisruptionTracker(BUDGETS)
+    wholes = {BLUE: TeamTotals(20, 60.0), RED: TeamTotals(20, 60.0)}
     found = draining.decide(runs, books, wholes)
     chosen = {run.attempt for run in found.stops}
     for team, most in ((BLUE, 3), (RED, 10)):
@@ -200,14 +200,14 @@
         )
     for run in runs:
         if run.attempt in chosen and not run.service and not run.saves:
-            assert run.left_s > run.limit_s - draining.STOP_S
+            assert run.left_s > run.limit_s - draining.STOP_LATENCY_S
         if run.limit_s == math.inf and not run.service and not run.saves:
             assert run.attempt not in chosen
 
 
 def test_a_service_of_one_replica_stays_and_says_why() -> None:
     """And one whose budget is zero: nothing moves."""
-    one = Aboard(
+    one = DrainCandidate(
         AttemptId(TaskId(JobId("job-000001"), 0), Attempt(1)),
         BLUE, Rank.HIGH, 4.0, 10.0, math.inf, 0.0, -1.0, True, 1, 1, 0, 0.0,
         True,
@@ -215,15 +215,15 @@
     for budgets, reason in (
         (BUDGETS, "job-000001: at least 2 of its replicas stay up"),
         (
-            Budgets(Budget(replicas=Amount(0.0), least_up=Amount(0.0))),
+            DisruptionBudgets(DisruptionBudget(replicas=Amount(0.0), least_up=Amount(0.0))),
             "0 of its replicas at once",
         ),
     ):
-        found = draining.decide([one], Disruptions(budgets), {})
+        found = draining.decide([one], DisruptionTracker(budgets), {})
         assert not found.stops and found.late == 1
         assert reason in found.held_up[0]
-    free = Budgets(Budget(least_up=Amount(0.0), cpus=Amount(100.0)))
-    assert draining.decide([one], Disruptions(free), {}).stops == [one]
+    free = DisruptionBudgets(DisruptionBudget(least_up=Amount(0.0), cpus=Amount(100.0)))
+    assert draining.decide([one], DisruptionTracker(free), {}).stops == [one]
 
 
 # -- steps -------------------------------------------------------------------------------------
@@ -241,28 +241,28 @@
             HostId(f"m-{i:06d}"): (KINDS[i % 4], rng.choice([0.0, 2.0, 4.0]))
             for i in range(number)
         }
-        self.fresh: dict[HostId, Fresh] = {}
+        self.fresh: dict[HostId, FreshHost] = {}
         self.booting: dict[HostId, float] = {}
         self.capacity, self.free, self.waiting = 10**6, 0.0, 0.0
         self.well = {NORTH, SOUTH}
         self.least = dict.fromkeys((NORTH, SOUTH), number)
-        self.progress = Progress(mark=HostId("m-500000"))
+        self.progress = OrderProgress(last_host=HostId("m-500000"))
         self.writes = 0
         self.largest = 0
 
-    def step(self) -> steps.Step:
+    def step(self) -> replacement.Step:
         self.now += 1.0
         for name, at in list(self.booting.items()):
             if self.now >= at:
                 bad = self.rng.random() < self.bad
-                self.fresh[name] = replace(self.fresh[name], up=not bad, bad=bad)
+                self.fresh[name] = replace(self.fresh[name], up=not bad, faulty=bad)
                 del self.booting[name]
-        for name in self.progress.hands:
+        for name in self.progress.draining_hosts:
             if name in self.old and self.rng.random() < 0.2:
                 del self.old[name]
-        seen = Seen(
+        seen = Observation(
             WallTime(self.now),
-            tuple(Old(name, kind, busy) for name, (kind, busy) in self.old.items()),
+            tuple(OldHost(name, kind, busy) for name, (kind, busy) in self.old.items()),
             tuple(self.fresh.values()),
             self.well,
             boot_s=20.0,
@@ -271,18 +271,18 @@
             fleet_cpus=400.0,
             free_cpus=self.free,
         )
-        step = steps.next_step(self.progress, seen)
+        step = replacement.next_step(self.progress, seen)
         if step.progress != self.progress:
             self.writes += 1
-            taken = set(step.progress.hands) - set(self.progress.hands)
+            taken = set(step.progress.draining_hosts) - set(self.progress.draining_hosts)
             assert len({self.old[name][0] for name in taken}) <= 1
             self.largest = max(self.largest, len(taken))
         self.progress = step.progress
         for _ in range(min(step.rent, self.capacity)):
             self.capacity -= 1
             name = HostId(f"m-{900000 + len(self.fresh):06d}")
-            assert self.progress.of is not None
-            self.fresh[name] = Fresh(name, self.progress.of, False, False)
+            assert self.progress.host_kind is not None
+            self.fresh[name] = FreshHost(name, self.progress.host_kind, False, False)
             self.booting[name] = self.now + self.rng.uniform(10, 25)
         return step
 
@@ -308,8 +308,10 @@
     fleet = Fleet(random.Random(1), 100, bad=1.0)
     while not fleet.progress.stage.final:
         step = fleet.step()
-    assert fleet.progress.stage is Stage.HALTED and "fresh machines" in fleet.progress.why
-    assert len(fleet.old) == 100 and not fleet.progress.hands
+    assert (
+        fleet.progress.stage is Stage.HALTED and "fresh machines" in fleet.progress.halt_reason
+    )
+    assert len(fleet.old) == 100 and not fleet.progress.draining_hosts
     assert step.give_up
 
 
@@ -318,7 +320,7 @@
     fleet.capacity = 0
     fleet.old = {name: (kind, 4.0) for name, (kind, _) in fleet.old.items()}
     for _ in range(300):
-        assert fleet.step().progress.stage is not Stage.EMPTY
+        assert fleet.step().progress.stage is not Stage.EMPTYING
     assert len(fleet.old) == 40
     fleet.free = 9.0
     for _ in range(10):
@@ -337,14 +339,14 @@
         step = fleet.step()
     assert step.hold_up == "work waits for room" and fleet.progress.stage is Stage.BAKE
     fleet.waiting = 0.0
-    while fleet.progress.stage is not Stage.EMPTY:
+    while fleet.progress.stage is not Stage.EMPTYING:
         fleet.step()
-    assert fleet.progress.of is not None
-    zone = fleet.progress.of[1]
+    assert fleet.progress.host_kind is not None
+    zone = fleet.progress.host_kind[1]
     fleet.well.discard(zone)
     fleet.step()
     # What is in hand there is in service again, and the next wave is in the other zone.
-    assert not fleet.progress.hands and fleet.progress.of[1] != zone
+    assert not fleet.progress.draining_hosts and fleet.progress.host_kind[1] != zone
 
 
 # -- orders and settings ------------------------------------------------------------------
@@ -364,9 +366,9 @@
         "by": rng.choice([None, 9e8]),
         "reason": rng.choice(["", "new kernel"]),
     }
-    order = read_order(OrderId("o-1"), row)
+    order = decode_order_fields(OrderId("o-1"), row)
     again = decode_order(OrderId("o-1"), encode_order(order), Revision(0))
-    assert again == order and order.same_as(again)
+    assert again == order and order.is_same_request(again)
     with pytest.raises(BadMessage, match="format"):
         decode_order(OrderId("o-1"), encode_order(order) | {"f": 2}, Revision(0))
 
@@ -386,26 +388,34 @@
 )
 def test_bad_orders_are_refused_with_a_line(row: dict[str, object]) -> None:
     with pytest.raises(BadMessage) as told:
-        read_order(OrderId("o-1"), row)
+        decode_order_fields(OrderId("o-1"), row)
     assert "\n" not in str(told.value)
 
 
 def test_a_share_is_the_same_for_every_leader_and_an_age_is_a_name() -> None:
     share = Order(OrderId("o"), OrderKind.DRAIN, Selection(share=0.25), WallTime(0.0))
     host = TypeName("small"), NORTH, False
-    meant = [n for n in range(1000) if share.selection.means(HostId(f"m-{n:06d}"), *host)]
+    meant = [n for n in range(1000) if share.selection.matches(HostId(f"m-{n:06d}"), *host)]
     assert 200 < len(meant) < 300
-    assert scope.marked(share)
-    assert not Selection(share=0.5).whole(*host) and Selection(zones=(NORTH,)).whole(*host)
-    assert not Selection(zones=(SOUTH,)).whole(*host)
+    assert scope.limited_to_existing(share)
+    assert not Selection(share=0.5).matches_every_machine(*host) and Selection(
+        zones=(NORTH,)
+    ).matches_every_machine(*host)
+    assert not Selection(zones=(SOUTH,)).matches_every_machine(*host)
 
 
 def test_spans_and_moments() -> None:
-    assert [span_s(t) for t in ("90", "90s", "1.5m", "2h", "1d")] == [90, 90, 90, 7200, 86400]
-    assert moment_s("+2m", 1e9) == 1e9 + 120 and moment_s("1700000000", 0.0) == 1.7e9
+    assert [parse_duration_s(t) for t in ("90", "90s", "1.5m", "2h", "1d")] == [
+        90,
+        90,
+        90,
+        7200,
+        86400,
+    ]
+    assert parse_time_s("+2m", 1e9) == 1e9 + 120 and parse_time_s("1700000000", 0.0) == 1.7e9
     for text in ("", "m", "-5s", "2 h", "soon"):
         with pytest.raises(ValueError):
-            span_s(text)
+            parse_duration_s(text)
 
 
 @pytest.mark.parametrize(
@@ -425,7 +435,7 @@
     file = tmp_path / "operator.sexp"
     file.write_text(f"(dunehold {text})")
     with pytest.raises(SettingsError, match=said):
-        load_operator(file)
+        load_operator_settings(file)
 
 
 def test_budgets_are_read(tmp_path: Path) -> None:
@@ -434,7 +444,7 @@
         '(dunehold (operator-port 8082) (disruption (default (tasks "20%") (window-s 30))'
         ' (team "blue" (cpus 40) (replicas 2)) (bind-all 1)))'
     )
-    found = load_operator(file)
+    found = load_operator_settings(file)
     blue = found.disruption.of(BLUE)
     assert found.operator_port == 8082 and found.disruption.bind_all
     assert (blue.tasks, blue.cpus, blue.window_s) == (Amount(share=0.2), Amount(40.0), 30.0)
