--- a/tests/test_zone_loss.py
+++ b/tests/test_zone_loss.py
@@ -11,18 +11,18 @@
 import pytest
 
 from dunehold.coordination.fleet.fleet import Fleet
-from dunehold.coordination.zones import watch
-from dunehold.coordination.zones.watch import ZoneWatch
+from dunehold.coordination.zones import monitor
+from dunehold.coordination.zones.monitor import ZoneMonitor
 from dunehold.transport.http import Request
 from dunehold.types import (
-    MANY,
-    Condition,
+    UNBOUNDED,
+    ZoneCondition,
 )
 from tests import world as world_module
 from tests.test_rules import crashes, play
 from tests.world import ZONES, World
 
-WELL = Condition.WELL
+WELL = ZoneCondition.HEALTHY
 
 
 async def cut_off(world: World, zone: str, seconds: float, mode: str = "hold") -> None:
@@ -172,8 +172,8 @@
     monkeypatch.setattr("tests.test_rules.World", Crowded)
     seeds = range(210, 213)
     known = [play(seed, counted_loss, nodes=5).waited for seed in seeds]
-    monkeypatch.setattr(ZoneWatch, "may_rent", lambda *_: MANY)
-    monkeypatch.setattr(ZoneWatch, "rentable", lambda *_: True)
+    monkeypatch.setattr(ZoneMonitor, "rent_limit", lambda *_: UNBOUNDED)
+    monkeypatch.setattr(ZoneMonitor, "rentable", lambda *_: True)
     unknown = [play(seed, counted_loss, nodes=5).waited for seed in seeds]
     assert sum(known) <= 3, known
     assert sum(unknown) >= 9, unknown
@@ -191,13 +191,13 @@
     """It learnt of the lost zone by rentals of its own."""
     monkeypatch.setattr("tests.test_rules.World", Crowded)
     known: list[bool] = []
-    restore = ZoneWatch.restore
+    restore = ZoneMonitor.restore
 
-    def noted(self: ZoneWatch, found, now) -> None:  # type: ignore[no-untyped-def]
+    def noted(self: ZoneMonitor, found, now) -> None:  # type: ignore[no-untyped-def]
         known.append(any(record.condition == "lost" for record in found.values()))
         restore(self, found, now)
 
-    monkeypatch.setattr(ZoneWatch, "restore", noted)
+    monkeypatch.setattr(ZoneMonitor, "restore", noted)
     worlds = [play(seed, leader_lost_meanwhile, nodes=5) for seed in range(210, 213)]
     assert sum(known) >= 3, known
     assert sum(world.waited for world in worlds) <= 3
@@ -221,9 +221,9 @@
     monkeypatch.setattr("tests.test_rules.World", Crowded)
     seeds = range(220, 223)
     watched = [play(seed, loss_and_return, nodes=5).waited for seed in seeds]
-    monkeypatch.setattr(watch, "WATCHERS", 0)
-    monkeypatch.setattr(Fleet, "_probes", lambda *_: [])
-    monkeypatch.setattr(ZoneWatch, "ask", lambda _: asyncio.sleep(0))
+    monkeypatch.setattr(monitor, "SENTINELS_PER_ZONE", 0)
+    monkeypatch.setattr(Fleet, "_probe_rentals", lambda *_: [])
+    monkeypatch.setattr(ZoneMonitor, "poll_peers", lambda _: asyncio.sleep(0))
     blind = [play(seed, loss_and_return, nodes=5).waited for seed in seeds]
     assert max(watched) <= 15.0, watched
     assert sum(watched) < 0.7 * sum(blind), (watched, blind)
@@ -265,7 +265,7 @@
     monkeypatch.setattr(world_module, "LEASE_S", 14.0)
     seeds = range(240, 244)
     kept = sum(play(seed, apart, nodes=5).lost for seed in seeds)
-    monkeypatch.setattr(ZoneWatch, "fed", lambda *_: False)
+    monkeypatch.setattr(ZoneMonitor, "is_relayed", lambda *_: False)
     returned = sum(play(seed, apart, nodes=5).lost for seed in seeds)
     assert kept < returned, (kept, returned)
 
@@ -337,7 +337,7 @@
     day = partition_with_the_leader_on_the_smaller_side
     yielded = [play(seed, day, nodes=5) for seed in seeds]
     assert all(world.led for world in yielded)
-    monkeypatch.setattr(ZoneWatch, "larger_side", lambda *_: None)
+    monkeypatch.setattr(ZoneMonitor, "preferred_leader_zone", lambda *_: None)
     kept = [play(seed, day, nodes=5) for seed in seeds]
     assert not any(world.led for world in kept)
     assert sum(w.waited for w in kept) < 0.2 * sum(w.waited for w in yielded)
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -12,56 +12,56 @@
 
 from dunehold.bookkeeping.hosts import Host, Run
 from dunehold.bookkeeping.records import JobRecord
-from dunehold.coordination.picture import guarantees
-from dunehold.coordination.picture.health import Health
-from dunehold.coordination.picture.offers import Offer, demands_of
-from dunehold.coordination.picture.progress import JobProgress
-from dunehold.coordination.zones.evacuation import Urgency, urgency
-from dunehold.coordination.zones.health import Evidence, Kind, ZoneHealth
+from dunehold.coordination.planning import guarantees
+from dunehold.coordination.planning.health import Health
+from dunehold.coordination.planning.offers import Offer, demands_for_job
+from dunehold.coordination.planning.progress import JobProgress
+from dunehold.coordination.zones.health import Evidence, KindCounts, ZoneHealth
+from dunehold.coordination.zones.monitor import ZoneMonitor
 from dunehold.coordination.zones.shares import fair_shares
-from dunehold.coordination.zones.watch import ZoneWatch
+from dunehold.coordination.zones.urgency import Urgency, urgency
 from dunehold.protocol.cloud import MachineType
 from dunehold.protocol.users import JobSpec, decode_job_object
 from dunehold.settings import TeamSettings
 from dunehold.types import (
-    MANY,
-    NO_ROOM,
+    NO_RESOURCES,
+    UNBOUNDED,
     Attempt,
     AttemptId,
-    Condition,
     Duration,
     HostId,
     Image,
     JobId,
     JobPhase,
     MonotonicTime,
+    Resources,
     Revision,
-    Room,
     TaskId,
     Team,
     TypeName,
     WallTime,
     Zone,
+    ZoneCondition,
 )
 from tests.test_protocol import JOB
 from tests.world import ZONES
 
-WELL, DOUBTFUL = Condition.WELL, Condition.DOUBTFUL
+WELL, DOUBTFUL = ZoneCondition.HEALTHY, ZoneCondition.SUSPECT
 
 
-LOST, RETURNING = Condition.LOST, Condition.RETURNING
+LOST, RETURNING = ZoneCondition.LOST, ZoneCondition.RECOVERING
 
 
-HERE = (Kind(10, 10), Kind(4, 4))
+HERE = (KindCounts(10, 10), KindCounts(4, 4))
 
 
-SILENT = (Kind(10, 0), Kind(4, 1))
+SILENT = (KindCounts(10, 0), KindCounts(4, 1))
 
 
 def after(*seen: tuple[float, Evidence], health: ZoneHealth | None = None) -> ZoneHealth:
     health = health or ZoneHealth(confirm_s=2.0, trust_s=4.0)
     for at, one in seen:
-        health.step(one, MonotonicTime(at))
+        health.update(one, MonotonicTime(at))
     return health
 
 
@@ -75,10 +75,12 @@
 @pytest.mark.parametrize(
     "seen",
     [
-        Evidence((Kind(10, 0), Kind(4, 4)), True, 2),  # one dead type, or a spot wave
+        Evidence(
+            (KindCounts(10, 0), KindCounts(4, 4)), True, 2
+        ),  # one dead type, or a spot wave
         Evidence(SILENT, False, 2),  # whoever hears nobody may be cut off itself
-        Evidence((Kind(10, 0),), True, 2, reached=2),  # one kind, and controllers answer
-        Evidence((Kind(10, 0),), True, 2),  # nobody was asked yet
+        Evidence((KindCounts(10, 0),), True, 2, reached=2),  # one kind, and controllers answer
+        Evidence((KindCounts(10, 0),), True, 2),  # nobody was asked yet
         Evidence((), True, 2, reached=0),  # nothing was ever there
     ],
 )
@@ -93,14 +95,14 @@
     for _ in range(5):
         while health.condition is not LOST:
             now += 0.5
-            health.step(lost, MonotonicTime(now))
+            health.update(lost, MonotonicTime(now))
         now += 0.5
-        health.step(back, MonotonicTime(now))
+        health.update(back, MonotonicTime(now))
         assert health.condition is RETURNING
         began = now
-        waited.append(health.patience_s)
+        waited.append(health.trust_delay_s)
         now += waited[-1] * 0.9
-        health.step(back, MonotonicTime(now))
+        health.update(back, MonotonicTime(now))
         assert health.condition is RETURNING, now - began
     assert waited == [4.0, 8.0, 16.0, 32.0, 64.0]
     assert after((now + 200.0, back), health=health).condition is WELL
@@ -110,7 +112,9 @@
 EVIDENCE = st.builds(
     Evidence,
     st.lists(
-        st.integers(1, 9).flatmap(lambda n: st.builds(Kind, st.just(n), st.integers(0, n))),
+        st.integers(1, 9).flatmap(
+            lambda n: st.builds(KindCounts, st.just(n), st.integers(0, n))
+        ),
         max_size=3,
     ).map(tuple),
     st.booleans(),
@@ -125,7 +129,7 @@
     for gap, seen in story:
         now += gap
         before = health.condition
-        health.step(seen, MonotonicTime(now))
+        health.update(seen, MonotonicTime(now))
         if before is WELL:
             assert health.condition in (WELL, DOUBTFUL)
             doubtful_at = now
@@ -136,7 +140,7 @@
             assert health.condition is LOST or seen.heard or seen.reached
         if before is RETURNING and health.condition is WELL:
             assert seen.heard > 0
-        assert health.patience_s <= 120.0
+        assert health.trust_delay_s <= 120.0
 
 
 WANTS = st.dictionaries(st.sampled_from("abcdef"), st.floats(0.0, 1000.0), max_size=6)
@@ -165,15 +169,15 @@
 
 def test_services_without_replicas_go_first() -> None:
     assert urgency(True, 4, 0) is Urgency.DOWN
-    assert urgency(True, 4, 1) is Urgency.THIN
-    assert urgency(True, 4, 2) is urgency(False, 4, 0) is Urgency.PLAIN
-    assert urgency(True, 1, 1) is Urgency.PLAIN
+    assert urgency(True, 4, 1) is Urgency.DEGRADED
+    assert urgency(True, 4, 2) is urgency(False, 4, 0) is Urgency.NORMAL
+    assert urgency(True, 1, 1) is Urgency.NORMAL
 
 
 def test_too_little_room_is_promised_by_guarantee_and_stops_nothing() -> None:
     """Half the room is left: each team's first jobs go first, as far as its share."""
     teams = {
-        Team(name): TeamSettings(Team(name), Room(cpus, 0.0, 1e9), None, None)
+        Team(name): TeamSettings(Team(name), Resources(cpus, 0.0, 1e9), None, None)
         for name, cpus in (("blue", 48.0), ("red", 16.0))
     }
     records, jobs = {}, {}
@@ -191,12 +195,15 @@
         records[spec.id] = JobRecord(spec.id, JobPhase.ACTIVE, Revision(1), at, spec, 1)
         jobs[spec.id] = JobProgress(spec, {0})
     ledger: Any = SimpleNamespace(
-        view=SimpleNamespace(active=records), by_job={}, present={}, team_use=lambda _: NO_ROOM
+        view=SimpleNamespace(active=records),
+        task_zones_by_job={},
+        runs_by_task={},
+        team_usage=lambda _: NO_RESOURCES,
     )
     settings: Any = SimpleNamespace(teams=teams)
 
     def first(room: float | None) -> tuple[int, int]:
-        found = guarantees.within(settings, ledger, Health(2), jobs, room)
+        found = guarantees.jobs_within_guarantee(settings, ledger, Health(2), jobs, room)
         blue = sum(records[job].spec.team == "blue" for job in found)  # type: ignore[union-attr]
         return blue, len(found) - blue
 
@@ -206,28 +213,28 @@
     busy = [Run(AttemptId(TaskId(job, 0), Attempt(n)), HostId("m"), spec_of(records[job]).team,
                 spec_of(records[job]).need, Image("i"), 1.0, MonotonicTime(n))
             for n, job in enumerate(records)]  # fmt: skip
-    use = {team: Room(40.0, 0.0, 0.0) for team in teams}
-    ledger.present, ledger.team_use = {run.id.task: [run] for run in busy}, use.get
-    beyond = guarantees.borrowed(settings, ledger)
+    use = {team: Resources(40.0, 0.0, 0.0) for team in teams}
+    ledger.runs_by_task, ledger.team_usage = {run.id.task: [run] for run in busy}, use.get
+    beyond = guarantees.borrowed_runs(settings, ledger)
     assert {run.team for run in busy if run.id in beyond} == {"red"} and len(beyond) == 6
 
 
 def test_what_lies_within_a_guarantee_is_not_stopped_because_it_began_last() -> None:
     """Its room was cleared for another team, and taken by it again, half a second later."""
-    teams = {Team("red"): TeamSettings(Team("red"), Room(16.0, 0.0, 1e9), None, None)}
+    teams = {Team("red"): TeamSettings(Team("red"), Resources(16.0, 0.0, 1e9), None, None)}
     runs = [
         Run(AttemptId(TaskId(JobId(job), n), Attempt(n)), HostId("m"), Team("red"),
-            Room(4.0, 0.0, 1.0), Image("i"), 1.0, MonotonicTime(float(n)))
+            Resources(4.0, 0.0, 1.0), Image("i"), 1.0, MonotonicTime(float(n)))
         for n, job in enumerate(["later"] * 4 + ["first"] * 3)
     ]  # fmt: skip
-    use = Room(28.0, 0.0, 7.0)
+    use = Resources(28.0, 0.0, 7.0)
     ledger: Any = SimpleNamespace(
-        present={run.id.task: [run] for run in runs}, team_use=lambda _: use
+        runs_by_task={run.id.task: [run] for run in runs}, team_usage=lambda _: use
     )
     settings: Any = SimpleNamespace(teams=teams)
 
     def jobs(guaranteed: set[JobId]) -> list[JobId]:
-        beyond = guarantees.borrowed(settings, ledger, guaranteed)
+        beyond = guarantees.borrowed_runs(settings, ledger, guaranteed)
         return [run.id.task.job for run in runs if run.id in beyond]
 
     assert jobs(set()) == ["first"] * 3
@@ -246,7 +253,7 @@
     north, south = Zone("north"), Zone("south")
 
     def asked(row: dict[str, Any], tasks: int, placed: dict[Zone, int], *usable: Zone):  # type: ignore[no-untyped-def]
-        found = demands_of(decode_job_object(row), tasks, 9.0, placed, usable)
+        found = demands_for_job(decode_job_object(row), tasks, 9.0, placed, usable)
         return {
             zone: sum(d.tasks for d in found if d.allowed(Offer(TypeName("t"), zone, False)))
             for zone in (north, south)
@@ -264,35 +271,37 @@
     assert asked(bound, 9, {}, north) == {north: 0, south: 0}
 
 
-def watching(hosts: list[Host]) -> ZoneWatch:
+def watching(hosts: list[Host]) -> ZoneMonitor:
     """A leader's watch over two zones; its settings have reports every two seconds."""
     ledger: Any = SimpleNamespace(
-        hosts={host.id: host for host in hosts}, took_over_at=MonotonicTime(0.0), relayed={}
+        hosts={host.id: host for host in hosts},
+        took_over_at=MonotonicTime(0.0),
+        relayed_until={},
     )
     settings: Any = SimpleNamespace(
         report_s=2.0, zones=tuple(map(Zone, ZONES)), peers=(SimpleNamespace(zone=ZONES[1]),)
     )
     kind = MachineType(
-        TypeName("small"), Room(4.0, 0.0, 16.0), 8.0, 0.5, 0.2, 0.1, Duration(20.0), ()
+        TypeName("small"), Resources(4.0, 0.0, 16.0), 8.0, 0.5, 0.2, 0.1, Duration(20.0), ()
     )
-    return ZoneWatch(settings, ledger, {kind.name: kind}, None, 6.0, lambda _: None)  # type: ignore[arg-type]
+    return ZoneMonitor(settings, ledger, {kind.name: kind}, None, 6.0, lambda _: None)  # type: ignore[arg-type]
 
 
 def machine(name: str, zone: str, spot: bool, heard_at: float) -> Host:
     host = Host(
-        HostId(name), TypeName("small"), Zone(zone), spot, "", MonotonicTime(1.0), NO_ROOM
+        HostId(name), TypeName("small"), Zone(zone), spot, "", MonotonicTime(1.0), NO_RESOURCES
     )
     host.up, host.heard_at = True, MonotonicTime(heard_at)
     return host
 
 
-def lose(watch: ZoneWatch, now: float = 100.0) -> None:
+def lose(watch: ZoneMonitor, now: float = 100.0) -> None:
     for step in (-6, *range(8)):
         for host in watch.ledger.hosts.values():
             if host.zone == ZONES[0]:
                 host.heard_at = MonotonicTime(now + step)
-        watch.step(MonotonicTime(now + step), MonotonicTime(0.0))
-    assert watch.lost(Zone(ZONES[1]))
+        watch.evaluate(MonotonicTime(now + step), MonotonicTime(0.0))
+    assert watch.is_lost(Zone(ZONES[1]))
 
 
 def fleet_of(silent: int) -> list[Host]:
@@ -303,11 +312,13 @@
 def test_two_ordinary_machines_stay_to_hear_of_the_return() -> None:
     watch = watching(fleet_of(8))
     lose(watch)
-    assert watch.watchers == {"s1", "s3"}
+    assert watch.sentinels == {"s1", "s3"}
     watch.ledger.hosts["s1"].deleting = True  # the cloud does not have it any more
-    watch.step(MonotonicTime(108.0), MonotonicTime(0.0))
-    assert watch.watchers == {"s3", "s5"}
-    assert watch.may_rent(Zone(ZONES[1])) == 0 and not watch.probes(MonotonicTime(108.0))
+    watch.evaluate(MonotonicTime(108.0), MonotonicTime(0.0))
+    assert watch.sentinels == {"s3", "s5"}
+    assert watch.rent_limit(Zone(ZONES[1])) == 0 and not watch.zones_to_probe(
+        MonotonicTime(108.0)
+    )
 
 
 def test_probes_are_sent_where_no_machine_is_left_and_ever_more_seldom() -> None:
@@ -316,7 +327,7 @@
     for host in list(watch.ledger.hosts.values()):
         if host.zone == ZONES[1]:
             del watch.ledger.hosts[host.id]
-    sent = [at for at in range(110, 1500) if watch.probes(MonotonicTime(float(at)))]
+    sent = [at for at in range(110, 1500) if watch.zones_to_probe(MonotonicTime(float(at)))]
     gaps = [later - earlier for earlier, later in pairwise(sent)]
     assert gaps == [30, 60, 120, 240, 300, 300, 300]
 
@@ -328,17 +339,17 @@
     now = MonotonicTime(120.0)
     for host in watch.ledger.hosts.values():
         host.heard_at = now
-    watch.step(now, MonotonicTime(0.0))
+    watch.evaluate(now, MonotonicTime(0.0))
     assert watch.condition(Zone(ZONES[1])) is RETURNING
-    assert watch.may_rent(Zone(ZONES[1])) == 8  # a tenth of what was up there
+    assert watch.rent_limit(Zone(ZONES[1])) == 8  # a tenth of what was up there
     for host in back[:5]:
         host.up, host.heard_at = False, MonotonicTime(-1e9)  # as if rented just now
-    assert watch.may_rent(Zone(ZONES[1])) == 3
-    assert watch.may_rent(Zone(ZONES[0])) == MANY
+    assert watch.rent_limit(Zone(ZONES[1])) == 3
+    assert watch.rent_limit(Zone(ZONES[0])) == UNBOUNDED
 
 
 def test_silent_machines_of_a_lost_zone_are_not_counted_on() -> None:
     watch = watching(fleet_of(8))
     lose(watch)
     silent, heard = watch.ledger.hosts[HostId("s0")], watch.ledger.hosts[HostId("n0")]
-    assert watch.written_off(silent) and not watch.written_off(heard)
+    assert watch.presumed_lost(silent) and not watch.presumed_lost(heard)
--- a/tests/world.py
+++ b/tests/world.py
@@ -35,7 +35,7 @@
     TeamSettings,
 )
 from dunehold.transport.http import NoResponse, Refused, Request, Response
-from dunehold.types import Duration, NodeId, Room, Team, Zone
+from dunehold.types import Duration, NodeId, Resources, Team, Zone
 from tests.virtual import NOBODY, OWNER, VirtualLoop
 
 ZONES = ("north", "south")
@@ -399,7 +399,7 @@
             teams={
                 Team(name): TeamSettings(
                     Team(name),
-                    Room(0.0 if name == "guest" else 8.0, 0.0, 1e9),
+                    Resources(0.0 if name == "guest" else 8.0, 0.0, 1e9),
                     limit or None,
                     None,
                 )
