--- a/tests/test_awaits.py
+++ b/tests/test_dependencies.py
@@ -25,13 +25,13 @@
 from dunehold.protocol.users import JobSpec, decode_job, decode_job_object, encode_job
 from dunehold.types import JobId, JobPhase, Rank, Revision, WallTime
 from tests.test_meetings import (
-    gap,
-    held_up,
+    cancellations_before_outage,
+    delayed_commands,
     late_writes,
-    leader_ends_before_the_deaf,
-    round_dance,
+    leader_ends_while_inbound_lost,
+    leadership_changes,
 )
-from tests.test_rules import crashes, cuts, outages, play
+from tests.test_rules import crashes, cuts, outages, simulate
 from tests.world import RuleBroken, World
 
 Faults = Callable[[World], Awaitable[None]]
@@ -52,7 +52,7 @@
     return decode_job_object(row)
 
 
-class Book:
+class WritableView:
     """A view that is written to as the state service would, revision by revision."""
 
     def __init__(self) -> None:
@@ -93,17 +93,17 @@
 
 # -- what follows from the ends of others ---------------------------------------------------
 
-Steps = st.lists(
+VIEW_OPERATIONS = st.lists(
     st.tuples(st.sampled_from(["accept", "done", "cancel"]), st.integers(0, 11),
               st.sets(st.integers(0, 11), max_size=3)), max_size=40,
 )  # fmt: skip
 
 
-@given(Steps)
+@given(VIEW_OPERATIONS)
 @settings(max_examples=200, deadline=None)
 def test_the_index_agrees_with_a_plain_one(steps: list[tuple[str, int, set[int]]]) -> None:
     """A plain one looks through all jobs, each time; and a listing finds the same."""
-    book, needs, ends = Book(), {}, {}
+    book, needs, ends = WritableView(), {}, {}
     for what, number, awaits in steps:
         known = number in needs
         if what == "accept" and not known:
@@ -137,7 +137,7 @@
 
 
 def test_a_chain_of_thousands_and_a_fan_of_thousands_are_cancelled_by_one_end() -> None:
-    book = Book()
+    book = WritableView()
     book.accept(spec(0))
     for number in range(1, 3000):
         book.accept(spec(number, number - 1))
@@ -153,7 +153,7 @@
 
 
 def test_who_is_free_is_told_of_at_once_and_waits_from_then() -> None:
-    book = Book()
+    book = WritableView()
     for job in (spec(1), spec(2), spec(3, 1, 2)):
         book.accept(job)
     assert book.view.waits_for_dependencies(uid(3)) and uid(3) not in book.done(1, 20.0)
@@ -163,7 +163,7 @@
 
 
 def test_a_job_that_names_a_cancelled_one_is_cancelled() -> None:
-    book = Book()
+    book = WritableView()
     book.accept(spec(1))
     book.cancel(1)
     book.accept(spec(2, 1))
@@ -173,7 +173,7 @@
 
 def test_a_cancellation_after_the_end_of_a_packed_job_takes_nothing_along() -> None:
     """Of two ends the first stands, also where a listing shows the later one first."""
-    book = Book()
+    book = WritableView()
     packer = JobBatchBuilder(3000)
     for job in (spec(1), spec(2, 1)):
         assert packer.add(AcceptedJob(job, WallTime(1.0)))
@@ -199,7 +199,7 @@
     )
 
 
-def replace_spec(book: Book, number: int) -> records.JobRecord:
+def replace_spec(book: WritableView, number: int) -> records.JobRecord:
     return replace(book.view.jobs[uid(number)], spec=spec(number))
 
 
@@ -252,39 +252,44 @@
 
 def with_pipelines(*faults: Faults) -> Faults:
     async def day(world: World) -> None:
-        world.pipelines = 0.35
+        world.pipeline_share = 0.35
         for fault in faults:
             world.spawn(fault(world))
 
     return day
 
 
-async def nothing(world: World) -> None: ...
+async def no_faults(world: World) -> None: ...
 
 
-DAYS = {
-    "quiet": [nothing], "crashes": [crashes], "cuts": [cuts], "outages": [outages],
-    "late writes": [late_writes], "gap": [gap], "round": [round_dance, late_writes],
-    "deaf": [leader_ends_before_the_deaf, held_up],
-}  # fmt: skip
+FAULT_COMBINATIONS = {
+    "quiet": [no_faults],
+    "crashes": [crashes],
+    "cuts": [cuts],
+    "outages": [outages],
+    "late writes": [late_writes],
+    "gap": [cancellations_before_outage],
+    "round": [leadership_changes, late_writes],
+    "deaf": [leader_ends_while_inbound_lost, delayed_commands],
+}
 
 
 @pytest.mark.parametrize("seed", [300, 301])
-@pytest.mark.parametrize("day", DAYS)
+@pytest.mark.parametrize("day", FAULT_COMBINATIONS)
 def test_rules_hold_for_jobs_that_wait(day: str, seed: int) -> None:
-    world = play(seed, with_pipelines(*DAYS[day]), nodes=(3, 5)[seed % 2])
-    graphs = [job for job in world.made if job.get("awaits")]
+    world = simulate(seed, with_pipelines(*FAULT_COMBINATIONS[day]), nodes=(3, 5)[seed % 2])
+    graphs = [job for job in world.job_rows if job.get("awaits")]
     assert len(graphs) > 5 and world.checker.starts > 10
     if day == "quiet":
-        over = [job for job in graphs if world.told.get(job["uid"])]
+        over = [job for job in graphs if world.final_phases.get(job["uid"])]
         assert len(over) > 0.9 * len(graphs)
-        assert any(world.told[job["uid"]] == "done" for job in over)
+        assert any(world.final_phases[job["uid"]] == "done" for job in over)
 
 
 def test_the_checker_finds_a_start_too_early(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(View, "waits_for_dependencies", lambda self, job: False)
     with pytest.raises(RuleBroken, match="too_early"):
-        play(300, with_pipelines(nothing))
+        simulate(300, with_pipelines(no_faults))
 
 
 def test_the_checker_finds_orphans(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -293,7 +298,7 @@
     broken = []
     for seed in range(300, 308):
         try:
-            play(seed, with_pipelines(nothing))
+            simulate(seed, with_pipelines(no_faults))
         except RuleBroken as found:
             broken.append(str(found))
     assert any("orphaned" in found for found in broken)
@@ -302,12 +307,14 @@
 # -- the one place that allows starts, and ranks taken over ----------------------------------
 
 
-async def asked(world: World, body: dict[str, Any]) -> tuple[int, dict[str, Any]]:
-    status, data, _ = await world.ask("POST", "/v1/jobs", orjson.dumps(body), 5.0)
+async def submit_job(world: World, body: dict[str, Any]) -> tuple[int, dict[str, Any]]:
+    status, data, _ = await world.request_with_retry_after(
+        "POST", "/v1/jobs", orjson.dumps(body), 5.0
+    )
     return status, orjson.loads(data)
 
 
-async def submissions(world: World) -> None:
+async def submit_dependent_jobs(world: World) -> None:
     """What a job that names others is answered, at any node."""
     found: dict[str, Any] = {}
     await asyncio.sleep(20.0)
@@ -316,15 +323,15 @@
     for job in (first, service):
         world.jobs.upload(job)
         world.history.add("job", uid=job["uid"], job=job)
-        found[job["uid"]] = (await asked(world, job))[0]
+        found[job["uid"]] = (await submit_job(world, job))[0]
     follower = first | {"uid": "job-900003", "awaits": ["job-900001"]}
     world.history.add("job", uid="job-900003", job=follower)
     world.jobs.upload(follower)
-    found["unknown"] = await asked(world, follower | {"awaits": ["job-999998"]})
-    found["service"] = await asked(world, follower | {"awaits": ["job-900002"]})
-    found["itself"] = await asked(world, follower | {"awaits": ["job-900003"]})
-    found["accepted"] = await asked(world, follower)
-    found["again"] = await asked(world, follower | {"awaits": ["job-999998"]})
+    found["unknown"] = await submit_job(world, follower | {"awaits": ["job-999998"]})
+    found["service"] = await submit_job(world, follower | {"awaits": ["job-900002"]})
+    found["itself"] = await submit_job(world, follower | {"awaits": ["job-900003"]})
+    found["accepted"] = await submit_job(world, follower)
+    found["again"] = await submit_job(world, follower | {"awaits": ["job-999998"]})
     leader = next(n.node.leader for n in world.nodes if n.node and n.node.leader)
     record = leader.view.jobs[JobId("job-900003")]
     found["waits"] = leader.view.waits_for_dependencies(record.id)
@@ -334,16 +341,18 @@
         task = records.TaskId(record.id, 0)
         found["refusal"] = leader.ledger.refusal(record, task, host, leader.now())
     long = follower | {"uid": "job-900004", "awaits": [f"job-{n:06d}" for n in range(400)]}
-    found["long"] = await asked(world, long)
+    found["long"] = await submit_job(world, long)
     for box in world.nodes:
         path = "/peer/waits/job-900003"
-        status, data, _ = await world.network.ask("me", box.name, "GET", path, None, 1.0)
+        status, data, _ = await world.network.request_with_retry_after(
+            "me", box.name, "GET", path, None, 1.0
+        )
         found.setdefault("told", []).append((status, orjson.loads(data)["waits"]))
-    world.waited = found  # type: ignore[assignment]
+    world.measured = found  # type: ignore[assignment]
 
 
 def test_answers_to_jobs_that_name_others() -> None:
-    found: Any = play(310, submissions).waited
+    found: Any = simulate(310, submit_dependent_jobs).measured
     assert found["job-900001"] == 201 and found["job-900002"] == 201
     assert found["unknown"][0] == 422 and "never accepted" in found["unknown"][1]["error"]
     assert found["service"][0] == 422 and "service" in found["service"][1]["error"]
@@ -356,7 +365,7 @@
 
 
 def test_rank_and_deadline_come_from_the_last_job(monkeypatch: pytest.MonkeyPatch) -> None:
-    book, told = Book(), []
+    book, told = WritableView(), []
     ledger: Any = SimpleNamespace(view=book.view)
     heirs = PriorityInheritance(ledger, lambda job: 10.0, told.append)
 
@@ -385,16 +394,16 @@
 
 
 if __name__ == "__main__":
-    # What it costs: python -m tests.test_awaits (docs/measurements/awaits.md)
+    # What it costs: python -m tests.test_dependencies (docs/measurements/awaits.md)
     for share in (0.0, 0.6):
         made = changes = 0
         for seed in range(320, 324):
 
             async def some(world: World, share: float = share) -> None:
-                world.pipelines = share
+                world.pipeline_share = share
 
-            world = play(seed, some)
-            made += len(world.made)
+            world = simulate(seed, some)
+            made += len(world.job_rows)
             changes += world.state.store.revision
         print(f"pipelines {share}: {made} jobs, {changes / made:.2f} transactions a job")
     for waiting in (0, 1_000, 10_000):
--- a/tests/test_health.py
+++ b/tests/test_health.py
@@ -9,7 +9,7 @@
 
 from dunehold.coordination.planning.health import Health
 from dunehold.types import HostId, JobId, MonotonicTime
-from tests.test_rules import play
+from tests.test_rules import simulate
 from tests.world import World
 
 
@@ -84,7 +84,7 @@
     assert not health.in_backoff(JobId("j"), at(1.1))
 
 
-async def mistakes(world: World) -> None:
+async def broken_jobs_and_restarts(world: World) -> None:
     world.broken_share = 0.35
     for _ in range(3):
         await asyncio.sleep(25.0)
@@ -97,8 +97,8 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """Each change of leader cost the fleet a wave of failures for every broken job."""
-    remembered = sum(play(seed, mistakes).errors for seed in range(3))
+    remembered = sum(simulate(seed, broken_jobs_and_restarts).failed_tasks for seed in range(3))
     monkeypatch.setattr(Health, "restore_broken_jobs", lambda *_: None)
     monkeypatch.setattr(Health, "in_backoff", lambda *_: False)
-    forgotten = sum(play(seed, mistakes).errors for seed in range(3))
+    forgotten = sum(simulate(seed, broken_jobs_and_restarts).failed_tasks for seed in range(3))
     assert remembered < 0.6 * forgotten, (remembered, forgotten)
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -18,7 +18,7 @@
 """
 
 
-def _verdict(tmp_path: Path, listed: str, suite: str = SUITE) -> tuple[int, str]:
+def _run_suite(tmp_path: Path, listed: str, suite: str = SUITE) -> tuple[int, str]:
     """As ``.ci/run`` does: the list is checked, then everything runs."""
     tests = tmp_path / "tests"
     tests.mkdir()
@@ -39,11 +39,11 @@
     return 0, said
 
 
-RED = "tests/test_some.py::test_red | it fails | 29\n"
+RED_LINE = "tests/test_some.py::test_red | it fails | 29\n"
 
 
 def test_a_listed_failure_is_run_and_printed(tmp_path: Path) -> None:
-    code, said = _verdict(tmp_path, RED)
+    code, said = _run_suite(tmp_path, RED_LINE)
     assert code == 0 and "it fails" in said and "1 passed, 1 xfailed" in said
 
 
@@ -51,11 +51,11 @@
     "listed",
     [
         "",  # a failure that is not listed
-        RED * 4,  # a fourth line
-        RED + "tests/test_some.py::test_gone | it fails | 29\n",  # no such test
+        RED_LINE * 4,  # a fourth line
+        RED_LINE + "tests/test_some.py::test_gone | it fails | 29\n",  # no such test
         "tests/test_some.py | all of it | 29\n",  # no test, but a file
         "tests/test_some.py::test_red\n",  # no cause
     ],
 )
 def test_nothing_else_passes(tmp_path: Path, listed: str) -> None:
-    assert _verdict(tmp_path, listed)[0] != 0
+    assert _run_suite(tmp_path, listed)[0] != 0
--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -28,7 +28,7 @@
 )
 
 
-def level(module: str) -> int | None:
+def layer_of(module: str) -> int | None:
     """The layer of a module; None for the command line and the emulator, which use all."""
     for number, names in enumerate(LAYERS):
         if any(module == name or module.startswith(name + ".") for name in names):
@@ -50,11 +50,11 @@
     checked = 0
     for path in sorted(ROOT.rglob("*.py")):
         module = ".".join(["dunehold", *path.relative_to(ROOT).with_suffix("").parts])
-        own = level(module)
+        own = layer_of(module)
         if own is None:
             continue
         for name in imports(path):
-            other = level(name)
+            other = layer_of(name)
             assert other is not None, f"{module} imports {name}, which is above all layers"
             assert other <= own, f"{module} imports {name} from a layer above its own"
             checked += 1
--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -38,9 +38,9 @@
 )
 from tests.test_protocol import JOB
 
-LEASE = Duration(14.0)
-HOST, OTHER = HostId("m-000001"), HostId("m-000002")
-KIND, ZONE, TEAM = TypeName("g8"), Zone("a"), Team("vision")
+LEASE_S = Duration(14.0)
+HOST, OTHER_HOST = HostId("m-000001"), HostId("m-000002")
+MACHINE_TYPE, ZONE, TEAM = TypeName("g8"), Zone("a"), Team("vision")
 TASK = TaskId(JobId("job-000412"), 3)
 
 
@@ -48,20 +48,20 @@
     fields = JOB | {"flavours": ["g8"], "together": False} | (changes or {})
     spec = decode_job_object(fields)
     view = View()
-    view.hosts[HOST] = HostRecord(HOST, KIND, ZONE, False)
+    view.hosts[HOST] = HostRecord(HOST, MACHINE_TYPE, ZONE, False)
     record = JobRecord(spec.id, JobPhase.ACTIVE, Revision(5), WallTime(0.0), spec, spec.tasks)
     view.jobs[spec.id] = view.active[spec.id] = record
     room = Resources(96.0, 8.0, 768.0)
-    kind = MachineType(KIND, room, 200.0, 1.0, 12.0, 4.5, Duration(45.0), (ZONE,))
+    kind = MachineType(MACHINE_TYPE, room, 200.0, 1.0, 12.0, 4.5, Duration(45.0), (ZONE,))
     ledger = Ledger(
         view, Token(7), MonotonicTime(0.0),
-        {TEAM: TeamSettings(TEAM, NO_RESOURCES, None, None)}, {KIND: kind},
-        LEASE, Duration(20.0),
+        {TEAM: TeamSettings(TEAM, NO_RESOURCES, None, None)}, {MACHINE_TYPE: kind},
+        LEASE_S, Duration(20.0),
     )  # fmt: skip
     return ledger, ledger.hosts[HOST], record
 
 
-def begin(ledger: Ledger, host: Host, record: JobRecord, now: MonotonicTime) -> Run:
+def start_task(ledger: Ledger, host: Host, record: JobRecord, now: MonotonicTime) -> Run:
     """Task 3 started on the machine, and in the log: it may be commanded."""
     run = ledger.plan_start(record, TASK, host, Tier.FOREGROUND, now)
     assert not isinstance(run, str)
@@ -71,7 +71,7 @@
 
 def report(session: int, sequence: int, *tasks: TaskReport, token: int = 7) -> Report:
     return Report(
-        HOST, "10.1.0.1:9000", KIND, ZONE, False, Session(session), Sequence(sequence),
+        HOST, "10.1.0.1:9000", MACHINE_TYPE, ZONE, False, Session(session), Sequence(sequence),
         Token(token), None, tasks,
     )  # fmt: skip
 
@@ -89,18 +89,18 @@
     refused = ledger.plan_start(record, TASK, host, Tier.FOREGROUND, back)
     assert refused == "machine does not report"
     assert ledger.ingest(report(2, 6), back).accepted
-    run = begin(ledger, host, record, back)
+    run = start_task(ledger, host, record, back)
     ledger.commands(host, direct=True, starts=True)
     assert ledger.expire_leases(MonotonicTime(15.6)) == []
     assert TASK in ledger.runs_by_task
-    assert ledger.expire_leases(MonotonicTime(back + LEASE * 1.01 + 1.0)) == [run]
+    assert ledger.expire_leases(MonotonicTime(back + LEASE_S * 1.01 + 1.0)) == [run]
 
 
 def test_a_direct_answer_does_not_refute_a_start_in_a_report_response() -> None:
     ledger, host, record = make_ledger()
     now = MonotonicTime(1.0)
     ledger.ingest(report(1, 1), now)
-    run = begin(ledger, host, record, now)
+    run = start_task(ledger, host, record, now)
     assert ledger.commands(host, direct=False, starts=True) == [Start(run.id)]
     ledger.ingest(report(1, 2), now, direct=True)  # written while the response was on its way
     assert not ledger.withdraw(run)
@@ -112,7 +112,7 @@
     ledger, host, record = make_ledger()
     now = MonotonicTime(1.0)
     ledger.ingest(report(1, 1), now)
-    run = begin(ledger, host, record, now)
+    run = start_task(ledger, host, record, now)
     ledger.commands(host, direct=True, starts=True)
     ledger.ingest(report(1, 2), now)
     ledger.stop(run, Duration(0.0))
@@ -134,14 +134,14 @@
     assert ledger.all_reconciled() and host.used.cpus == 8.0
 
 
-def second_leader(spec: dict[str, object]) -> tuple[Ledger, JobRecord]:
+def ledger_with_silent_host(spec: dict[str, object]) -> tuple[Ledger, JobRecord]:
     """After a takeover: the log has task 3 on a machine that says nothing."""
     made, _, record = make_ledger(spec)
     view = made.view
-    view.hosts[OTHER] = HostRecord(OTHER, KIND, ZONE, False)
-    view.start_log[5] = {OTHER: {TASK}}
+    view.hosts[OTHER_HOST] = HostRecord(OTHER_HOST, MACHINE_TYPE, ZONE, False)
+    view.start_log[5] = {OTHER_HOST: {TASK}}
     ledger = Ledger(
-        view, Token(7), MonotonicTime(0.0), made.teams, made.types, LEASE, Duration(20.0)
+        view, Token(7), MonotonicTime(0.0), made.teams, made.types, LEASE_S, Duration(20.0)
     )
     ledger.ingest(report(1, 1), MonotonicTime(1.0))
     return ledger, record
@@ -150,7 +150,7 @@
 def test_only_what_the_log_places_on_a_silent_machine_is_held_back() -> None:
     """Every takeover once stopped placing for half a minute, until the last silent machine
     was counted out."""
-    ledger, record = second_leader({})
+    ledger, record = ledger_with_silent_host({})
     host = ledger.hosts[HOST]
     now = MonotonicTime(1.0)
     other = TaskId(TASK.job, 4)
@@ -163,7 +163,7 @@
 
 def test_where_tasks_depend_on_one_another_all_must_be_seen() -> None:
     """The others of a job that must stay together went to the other zone meanwhile."""
-    ledger, record = second_leader({"together": True})
+    ledger, record = ledger_with_silent_host({"together": True})
     host = ledger.hosts[HOST]
     other = TaskId(TASK.job, 4)
     made = ledger.plan_start(record, other, host, Tier.FOREGROUND, MonotonicTime(1.0))
@@ -174,39 +174,39 @@
     ledger, host, record = make_ledger()
     ledger.ingest(report(1, 1), MonotonicTime(1.0))
     host.lease_renewed_at = MonotonicTime(1.0)
-    run = begin(ledger, host, record, MonotonicTime(1.0))
+    run = start_task(ledger, host, record, MonotonicTime(1.0))
     ledger.view.relays[NodeId("n2")] = RelayRecord(ZONE, Token(7))
     ledger.update_relays(MonotonicTime(15.0))
     assert ledger.expire_leases(MonotonicTime(16.0)) == []
     ledger.view.relays.clear()
     ledger.view.relay_changes[ZONE] = 2  # it went, and may have fed until its proof was old
     ledger.update_relays(MonotonicTime(20.0))
-    assert ledger.expire_leases(MonotonicTime(20.0 + LEASE)) == []
-    assert ledger.expire_leases(MonotonicTime(20.0 + LEASE * 1.01 + 3.5)) == [run]
+    assert ledger.expire_leases(MonotonicTime(20.0 + LEASE_S)) == []
+    assert ledger.expire_leases(MonotonicTime(20.0 + LEASE_S * 1.01 + 3.5)) == [run]
 
 
-def taken_over(tasks: dict[HostId, set[TaskId]], *jobs: JobRecord) -> Ledger:
+def ledger_after_takeover(tasks: dict[HostId, set[TaskId]], *jobs: JobRecord) -> Ledger:
     """A new leader's books: two machines on record, and what the log places on them."""
     view = View()
-    for host in (HOST, OTHER):
-        view.hosts[host] = HostRecord(host, KIND, ZONE, False)
+    for host in (HOST, OTHER_HOST):
+        view.hosts[host] = HostRecord(host, MACHINE_TYPE, ZONE, False)
     for job in jobs:
         view.jobs[job.id] = job
         if job.phase is JobPhase.ACTIVE:
             view.active[job.id] = job
     view.start_log[0] = tasks
     room = Resources(96.0, 8.0, 768.0)
-    kind = MachineType(KIND, room, 200.0, 1.0, 12.0, 4.5, Duration(45.0), (ZONE,))
+    kind = MachineType(MACHINE_TYPE, room, 200.0, 1.0, 12.0, 4.5, Duration(45.0), (ZONE,))
     teams = {
         Team(name): TeamSettings(Team(name), NO_RESOURCES, 40.0, None)
         for name in ("vision", "sound")
     }
     return Ledger(
-        view, Token(7), MonotonicTime(0.0), teams, {KIND: kind}, LEASE, Duration(20.0)
+        view, Token(7), MonotonicTime(0.0), teams, {MACHINE_TYPE: kind}, LEASE_S, Duration(20.0)
     )
 
 
-def job_of(name: str, team: str, phase: JobPhase = JobPhase.ACTIVE) -> JobRecord:
+def make_job_record(name: str, team: str, phase: JobPhase = JobPhase.ACTIVE) -> JobRecord:
     spec = decode_job_object(
         JOB | {"uid": name, "owner": team, "flavours": ["g8"], "together": False}
     )
@@ -215,9 +215,12 @@
 
 def test_silence_counts_against_the_teams_whose_tasks_it_may_hide() -> None:
     """One silent machine held up every limited team, for up to 36 s after a takeover."""
-    seen, sound = job_of("job-000412", "vision"), job_of("job-000413", "sound")
+    seen, sound = (
+        make_job_record("job-000412", "vision"),
+        make_job_record("job-000413", "sound"),
+    )
     placed = {HOST: {TaskId(seen.id, n) for n in range(4)}}
-    ledger = taken_over(placed, seen, sound)
+    ledger = ledger_after_takeover(placed, seen, sound)
     assert seen.spec is not None and sound.spec is not None
     assert ledger.max_team_usage(TEAM).cpus == 4 * seen.spec.need.cpus == 32.0
     assert ledger.team_allows(seen.spec)  # 8 CPUs more are its limit
@@ -229,23 +232,25 @@
 
 
 def test_a_task_that_two_machines_may_hold_counts_once_until_neither_does() -> None:
-    job = job_of("job-000412", "vision")
-    ledger = taken_over({HOST: {TASK}, OTHER: {TASK}}, job)
+    job = make_job_record("job-000412", "vision")
+    ledger = ledger_after_takeover({HOST: {TASK}, OTHER_HOST: {TASK}}, job)
     assert ledger.max_team_usage(TEAM).cpus == 8.0
     ledger._mark_reconciled(ledger.hosts[HOST])
     assert ledger.max_team_usage(TEAM).cpus == 8.0 and ledger.may_run_on_unreconciled_host(TASK)
-    ledger._mark_reconciled(ledger.hosts[OTHER])
+    ledger._mark_reconciled(ledger.hosts[OTHER_HOST])
     assert ledger.max_team_usage(TEAM) == NO_RESOURCES and ledger.take_released() == [TASK]
 
 
 def test_what_nothing_describes_counts_as_the_whole_machine_and_for_everybody() -> None:
-    ledger = taken_over({HOST: {TASK}})
+    ledger = ledger_after_takeover({HOST: {TASK}})
     for team in ("vision", "sound"):
         assert ledger.max_team_usage(Team(team)).cpus == 96.0
-    cancelled = taken_over({HOST: {TASK}}, job_of("job-000412", "vision", JobPhase.CANCELLED))
+    cancelled = ledger_after_takeover(
+        {HOST: {TASK}}, make_job_record("job-000412", "vision", JobPhase.CANCELLED)
+    )
     assert cancelled.max_team_usage(TEAM).cpus == 8.0  # it may still be running
     done = JobRecord(TASK.job, JobPhase.DONE, Revision(6), WallTime(0.0), None, 8)
-    assert taken_over({HOST: {TASK}}, done).max_team_usage(TEAM) == NO_RESOURCES
+    assert ledger_after_takeover({HOST: {TASK}}, done).max_team_usage(TEAM) == NO_RESOURCES
 
 
 def test_a_late_start_is_put_down_to_the_longest_part_of_its_wait() -> None:
@@ -272,7 +277,7 @@
     assert record.spec is not None
     known = ledger.ingest(report(1, 1), MonotonicTime(1.0))
     assert known.accepted and not known.begun
-    run = begin(ledger, host, record, MonotonicTime(2.0))
+    run = start_task(ledger, host, record, MonotonicTime(2.0))
     task = TaskReport(run.id, TaskPhase.RUNNING, None, False)
     outcome = ledger.ingest(report(1, 2, task), MonotonicTime(9.0))
     assert outcome.begun == (run,)
@@ -288,7 +293,7 @@
     ledger, host, record = make_ledger()
     ledger.ingest(report(1, 1), MonotonicTime(1.0))
     host.lease_renewed_at = MonotonicTime(1.0)
-    run = begin(ledger, host, record, MonotonicTime(1.0))
+    run = start_task(ledger, host, record, MonotonicTime(1.0))
     ledger.commands(host, direct=True, starts=True)
     task = TaskReport(run.id, TaskPhase.RUNNING, None, False)
     ledger.ingest(report(1, 2, task), MonotonicTime(9.0), direct=True)
--- a/tests/test_upkeep.py
+++ b/tests/test_maintenance.py
@@ -51,7 +51,7 @@
 BUDGETS = DisruptionBudgets(BUDGET, {RED: replace(BUDGET, tasks=Amount(share=0.5))})
 
 
-class Spending(RuleBasedStateMachine):
+class DisruptionBudgetMachine(RuleBasedStateMachine):
     """Leaders come and go, stops are asked for, tasks return or don't: counted beside the books
     as an operator would count, from what was granted and is not back for sure."""
 
@@ -60,13 +60,13 @@
         self.now = 1000.0
         self.record: object = None
         self.granted: list[tuple[float, Team, TaskId]] = []
-        self.away: dict[TaskId, Team] = {}
+        self.not_restored: dict[TaskId, Team] = {}
         self.number = 0
-        self.lead()
+        self.start_leader()
 
-    def lead(self) -> None:
-        self.books = DisruptionTracker(BUDGETS)
-        self.books.restore(self.record, MonotonicTime(self.now), WallTime(self.now))
+    def start_leader(self) -> None:
+        self.disruptions = DisruptionTracker(BUDGETS)
+        self.disruptions.restore(self.record, MonotonicTime(self.now), WallTime(self.now))
         self.known: set[TaskId] = set()
 
     @rule(team=st.sampled_from([BLUE, RED]), cpus=st.sampled_from([1.0, 4.0, 8.0]))
@@ -74,36 +74,40 @@
         self.number += 1
         task = TaskId(JobId(f"job-{self.number:06d}"), 0)
         hit = Disruption(team, task.job, 1, cpus)
-        if self.books.refusal(hit, TeamTotals(8, 100.0)) is not None:
+        if self.disruptions.refusal(hit, TeamTotals(8, 100.0)) is not None:
             return
-        self.record = self.books.encode([hit], MonotonicTime(self.now), WallTime(self.now))
-        self.books.add(hit, task, MonotonicTime(self.now), choice=True)
+        self.record = self.disruptions.encode(
+            [hit], MonotonicTime(self.now), WallTime(self.now)
+        )
+        self.disruptions.add(hit, task, MonotonicTime(self.now), choice=True)
         self.granted.append((self.now, team, task))
-        self.away[task] = team
+        self.not_restored[task] = team
         self.known.add(task)
 
     @rule(index=st.integers(0, 50))
-    def comes_back(self, index: int) -> None:
-        tasks = sorted(self.away)
+    def restore_task(self, index: int) -> None:
+        tasks = sorted(self.not_restored)
         if tasks:
             task = tasks[index % len(tasks)]
-            self.books.task_restored(task)
-            del self.away[task]
+            self.disruptions.task_restored(task)
+            del self.not_restored[task]
 
     @rule(team=st.sampled_from([BLUE, RED]))
-    def is_lost(self, team: Team) -> None:
+    def lose_task(self, team: Team) -> None:
         self.number += 1
         task = TaskId(JobId(f"job-{self.number:06d}"), 0)
-        self.books.add(Disruption(team, task.job, 1, 1.0), task, MonotonicTime(self.now), False)
+        self.disruptions.add(
+            Disruption(team, task.job, 1, 1.0), task, MonotonicTime(self.now), False
+        )
 
     @rule(seconds=st.floats(0.5, 15.0))
-    def time_passes(self, seconds: float) -> None:
+    def advance_time(self, seconds: float) -> None:
         self.now += seconds
-        self.books.expire(MonotonicTime(self.now))
+        self.disruptions.expire(MonotonicTime(self.now))
 
     @rule()
-    def next_leader(self) -> None:
-        self.lead()
+    def change_leader(self) -> None:
+        self.start_leader()
 
     @invariant()
     def within_budget(self) -> None:
@@ -112,18 +116,22 @@
             (RED, 5),
         ):  # half of 8, and what is away counts as a whole
             recent = {task for at, t, task in self.granted if t == team and at > self.now - 20}
-            away = {task for task, t in self.away.items() if t == team and task in self.known}
+            away = {
+                task
+                for task, t in self.not_restored.items()
+                if t == team and task in self.known
+            }
             assert len(recent | away) <= most * (2 if team is RED else 1), (recent, away)
 
 
-Spending.TestCase.settings = settings(
+DisruptionBudgetMachine.TestCase.settings = settings(
     max_examples=60,
     stateful_step_count=40,
     deadline=None,
     derandomize=True,
     suppress_health_check=list(HealthCheck),
 )
-TestSpending = Spending.TestCase
+TestSpending = DisruptionBudgetMachine.TestCase
 
 
 def test_a_leader_that_forgets_spends_twice() -> None:
@@ -157,7 +165,7 @@
 # -- what is stopped ---------------------------------------------------------------------------
 
 
-def aboard(rng: random.Random, number: int) -> DrainCandidate:
+def random_candidate(rng: random.Random, number: int) -> DrainCandidate:
     service = rng.random() < 0.2
     gang = 0 if service or rng.random() < 0.8 else 3
     job = JobId(f"job-{rng.randrange(6) + (10 if service else 20 if gang else 0):06d}")
@@ -184,7 +192,7 @@
     seed: int,
 ) -> None:
     rng = random.Random(seed)
-    runs = [aboard(rng, number) for number in range(rng.randrange(1, 30))]
+    runs = [random_candidate(rng, number) for number in range(rng.randrange(1, 30))]
     books = DisruptionTracker(BUDGETS)
     wholes = {BLUE: TeamTotals(20, 60.0), RED: TeamTotals(20, 60.0)}
     found = draining.decide(runs, books, wholes)
@@ -229,26 +237,28 @@
 # -- steps -------------------------------------------------------------------------------------
 
 NORTH, SOUTH = Zone("north"), Zone("south")
-KINDS = [(TypeName("small"), zone, spot) for zone in (NORTH, SOUTH) for spot in (True, False)]
+HOST_KINDS = [
+    (TypeName("small"), zone, spot) for zone in (NORTH, SOUTH) for spot in (True, False)
+]
 
 
-class Fleet:
+class ReplacementSimulation:
     """Machines that a replacement works on, with clouds and workers that may fail it."""
 
-    def __init__(self, rng: random.Random, number: int, bad: float = 0.0) -> None:
-        self.rng, self.bad, self.now = rng, bad, 0.0
+    def __init__(self, rng: random.Random, number: int, failure_share: float = 0.0) -> None:
+        self.rng, self.bad, self.now = rng, failure_share, 0.0
         self.old = {
-            HostId(f"m-{i:06d}"): (KINDS[i % 4], rng.choice([0.0, 2.0, 4.0]))
+            HostId(f"m-{i:06d}"): (HOST_KINDS[i % 4], rng.choice([0.0, 2.0, 4.0]))
             for i in range(number)
         }
         self.fresh: dict[HostId, FreshHost] = {}
         self.booting: dict[HostId, float] = {}
         self.capacity, self.free, self.waiting = 10**6, 0.0, 0.0
-        self.well = {NORTH, SOUTH}
+        self.healthy_zones = {NORTH, SOUTH}
         self.least = dict.fromkeys((NORTH, SOUTH), number)
         self.progress = OrderProgress(last_host=HostId("m-500000"))
         self.writes = 0
-        self.largest = 0
+        self.largest_step = 0
 
     def step(self) -> replacement.Step:
         self.now += 1.0
@@ -264,9 +274,9 @@
             WallTime(self.now),
             tuple(OldHost(name, kind, busy) for name, (kind, busy) in self.old.items()),
             tuple(self.fresh.values()),
-            self.well,
+            self.healthy_zones,
             boot_s=20.0,
-            refused=set() if self.capacity > 0 else set(KINDS),
+            refused=set() if self.capacity > 0 else set(HOST_KINDS),
             waiting_cpus=self.waiting,
             fleet_cpus=400.0,
             free_cpus=self.free,
@@ -276,7 +286,7 @@
             self.writes += 1
             taken = set(step.progress.draining_hosts) - set(self.progress.draining_hosts)
             assert len({self.old[name][0] for name in taken}) <= 1
-            self.largest = max(self.largest, len(taken))
+            self.largest_step = max(self.largest_step, len(taken))
         self.progress = step.progress
         for _ in range(min(step.rent, self.capacity)):
             self.capacity -= 1
@@ -290,22 +300,22 @@
 @pytest.mark.parametrize("seed", range(6))
 def test_all_of_a_fleet_is_replaced_in_ever_larger_steps(seed: int) -> None:
     rng = random.Random(seed)
-    fleet = Fleet(rng, 600)
+    fleet = ReplacementSimulation(rng, 600)
     for _ in range(4000):
         if rng.random() < 0.01:  # a next leader knows what is durable
             fleet.progress = decode_progress(encode_progress(fleet.progress))
         if rng.random() < 0.01:
-            fleet.well ^= {rng.choice([NORTH, SOUTH])}
+            fleet.healthy_zones ^= {rng.choice([NORTH, SOUTH])}
         fleet.step()
         if fleet.progress.stage.final:
             break
     assert fleet.progress.stage is Stage.DONE and not fleet.old
-    assert 10 < fleet.largest <= 50
+    assert 10 < fleet.largest_step <= 50
     assert fleet.writes < 0.2 * 600, fleet.writes
 
 
 def test_it_halts_by_itself_when_fresh_machines_fail() -> None:
-    fleet = Fleet(random.Random(1), 100, bad=1.0)
+    fleet = ReplacementSimulation(random.Random(1), 100, failure_share=1.0)
     while not fleet.progress.stage.final:
         step = fleet.step()
     assert (
@@ -316,7 +326,7 @@
 
 
 def test_without_capacity_it_goes_only_as_far_as_the_work_fits_elsewhere() -> None:
-    fleet = Fleet(random.Random(2), 40)
+    fleet = ReplacementSimulation(random.Random(2), 40)
     fleet.capacity = 0
     fleet.old = {name: (kind, 4.0) for name, (kind, _) in fleet.old.items()}
     for _ in range(300):
@@ -325,11 +335,11 @@
     fleet.free = 9.0
     for _ in range(10):
         fleet.step()
-    assert fleet.largest == 2
+    assert fleet.largest_step == 2
 
 
 def test_a_burst_and_a_lost_zone_hold_it_up() -> None:
-    fleet = Fleet(random.Random(3), 40)
+    fleet = ReplacementSimulation(random.Random(3), 40)
     while fleet.progress.wave < 2:
         fleet.step()
     while fleet.progress.stage is not Stage.BAKE:
@@ -343,7 +353,7 @@
         fleet.step()
     assert fleet.progress.host_kind is not None
     zone = fleet.progress.host_kind[1]
-    fleet.well.discard(zone)
+    fleet.healthy_zones.discard(zone)
     fleet.step()
     # What is in hand there is in service again, and the next wave is in the other zone.
     assert not fleet.progress.draining_hosts and fleet.progress.host_kind[1] != zone
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -21,7 +21,7 @@
 from dunehold.coordination.node import Node
 from dunehold.coordination.persistence import recorder
 from dunehold.coordination.term.delivery import Delivery
-from dunehold.emulator.agents.outside import WorkerAgent
+from dunehold.emulator.agents.external_services import WorkerAgent
 from dunehold.emulator.history import Event
 from dunehold.emulator.model.base import Reply
 from dunehold.emulator.model.cloud import Cloud
@@ -29,13 +29,13 @@
 from dunehold.protocol.workers import Report
 from dunehold.transport.http import NoResponse
 from dunehold.types import MonotonicTime, Sequence, Session, Token
-from tests.test_rules import BUSY_S, crashes, play
-from tests.world import Answer, NodeBox, RuleBroken, World
+from tests.test_rules import BUSY_S, crashes, simulate
+from tests.world import NodeProcess, RuleBroken, ServiceResponse, World
 
 Faults = Callable[[World], Awaitable[None]]
 
 
-def leader_of(world: World) -> NodeBox | None:
+def leader_of(world: World) -> NodeProcess | None:
     leading = [n for n in world.nodes if n.node is not None and n.node.leader is not None]
     return leading[0] if leading else None
 
@@ -46,42 +46,45 @@
 async def late_writes(world: World) -> None:
     world.spawn(crashes(world))
     while True:
-        world.state.late_share = 0.25
+        world.state.delayed_txn_share = 0.25
         await asyncio.sleep(20.0)
-        world.state.late_share = 0.0
+        world.state.delayed_txn_share = 0.0
         await asyncio.sleep(5.0)
 
 
 @pytest.mark.parametrize("seed", range(200, 204))
 def test_a_late_write_takes_nothing_newer_back(seed: int) -> None:
-    world = play(seed, late_writes, nodes=(3, 5)[seed % 2])
-    late = world.state.late
-    assert late.after_newer > 20 and late.refused > 5
-    assert not late.overwrote
+    world = simulate(seed, late_writes, nodes=(3, 5)[seed % 2])
+    late = world.state.delayed_txns
+    assert late.after_newer_writes > 20 and late.rejected_after_newer > 5
+    assert not late.overwritten_keys
 
 
 def test_without_its_guard_a_late_write_takes_newer_ones_back(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(recorder, "VERSIONED_PREFIXES", ("nothing",))
-    assert any(play(seed, late_writes).state.late.overwrote for seed in range(200, 203))
+    assert any(
+        simulate(seed, late_writes).state.delayed_txns.overwritten_keys
+        for seed in range(200, 203)
+    )
 
 
 # -- a leader ends while machines can't be reached, or don't hear the new leader's answer ---
 
 
-def _deafen(world: World, seconds: float, share: float) -> None:
+def _lose_inbound(world: World, seconds: float, share: float) -> None:
     for agent in world.cloud.workers.values():
         if agent.worker.tasks and world.rng.random() < share:
-            agent.deaf_until = max(agent.deaf_until, world.now() + seconds)
+            agent.inbound_lost_until = max(agent.inbound_lost_until, world.now() + seconds)
 
 
-async def leader_ends_before_the_deaf(world: World) -> None:
+async def leader_ends_while_inbound_lost(world: World) -> None:
     """Machines stop hearing, and within a second or two the leader ends."""
     for _ in range(4):
         await asyncio.sleep(world.rng.uniform(8.0, 16.0))
-        _deafen(world, world.rng.uniform(4.0, 40.0), 0.6)
-        before = {name: a.unheard for name, a in world.cloud.workers.items()}
+        _lose_inbound(world, world.rng.uniform(4.0, 40.0), 0.6)
+        before = {name: a.lost_responses for name, a in world.cloud.workers.items()}
         await asyncio.sleep(world.rng.uniform(0.0, 2.0))
         box = leader_of(world)
         if box is not None:
@@ -89,21 +92,23 @@
         await asyncio.sleep(6.0)
         if leader_of(world) is not None:
             agents = world.cloud.workers.items()
-            world.met["unheard"] += sum(a.unheard > before.get(n, 0) for n, a in agents)
+            world.counts["unheard"] += sum(
+                a.lost_responses > before.get(n, 0) for n, a in agents
+            )
 
 
 @pytest.mark.parametrize("seed", range(210, 214))
 def test_a_deaf_machine_s_reports_prove_nothing_to_a_new_leader(seed: int) -> None:
-    world = play(seed, leader_ends_before_the_deaf, nodes=(3, 5)[seed % 2])
-    assert world.met["unheard"] > 3 and world.checker.starts > 20
+    world = simulate(seed, leader_ends_while_inbound_lost, nodes=(3, 5)[seed % 2])
+    assert world.counts["unheard"] > 3 and world.checker.starts > 20
 
 
-def broken_days(seeds: range, faults: Faults, nodes: int = 3) -> list[str]:
+def collect_breaches(seeds: range, faults: Faults, nodes: int = 3) -> list[str]:
     """What breaks on those days, with some safeguard taken out."""
     found = []
     for seed in seeds:
         try:
-            play(seed, faults, nodes=nodes)
+            simulate(seed, faults, nodes=nodes)
         except RuleBroken as broken:
             found.append(str(broken))
     return found
@@ -120,62 +125,62 @@
     monkeypatch.setattr(Ledger, "_lease_expired", at_once)
     assert any(
         "ran_twice" in b or "quota" in b
-        for b in broken_days(range(210, 216), leader_ends_before_the_deaf)
+        for b in collect_breaches(range(210, 216), leader_ends_while_inbound_lost)
     )
 
 
 # -- the state service refuses the leader alone, then everybody, while jobs are cancelled ---
 
 
-async def gap(world: World) -> None:
+async def cancellations_before_outage(world: World) -> None:
     """Another node confirms cancellations; then nobody can tell the leader of them."""
     for _ in range(2):
         await asyncio.sleep(18.0)
         box = leader_of(world)
         if box is None:
             continue
-        world.spawn(world.state.refuse(box.name, 14.0))
+        world.spawn(world.state.refuse_node(box.name, 14.0))
         await asyncio.sleep(0.4)
         others = [n for n in world.nodes if n is not box and n.node is not None]
         cancelled = await cancel_through(world, others, 6)
         await asyncio.sleep(world.rng.uniform(0.3, 1.0))
-        world.met["cancelled"] += cancelled
+        world.counts["cancelled"] += cancelled
         fed = sum(a.reports for a in world.cloud.workers.values())
         await world.state.outage(46.0)
-        world.met["fed"] += sum(a.reports for a in world.cloud.workers.values()) - fed
+        world.counts["fed"] += sum(a.reports for a in world.cloud.workers.values()) - fed
 
 
-async def cancel_through(world: World, nodes: list[NodeBox], most: int) -> int:
+async def cancel_through(world: World, nodes: list[NodeProcess], max_jobs: int) -> int:
     """Cancel jobs that have tasks on machines; how many were confirmed."""
     uids = {
-        t.item.rpartition("/")[0]
+        t.task_id.rpartition("/")[0]
         for a in world.cloud.workers.values()
         for t in a.worker.tasks.values()
         if t.on_machine
     }
     confirmed = 0
-    for uid in sorted(uids)[:most]:
-        if world.told.get(uid) is not None:
+    for uid in sorted(uids)[:max_jobs]:
+        if world.final_phases.get(uid) is not None:
             continue
         world.history.add("cancel", uid=uid)
         box = world.rng.choice(nodes)
         asked = world.now()
         try:
-            status, data, _ = await world.network.ask(
+            status, data, _ = await world.network.request_with_retry_after(
                 "users", box.name, "POST", f"/v1/jobs/{uid}/cancel", b"{}", 3.0
             )
         except NoResponse:
             continue
         if status == 200:
-            world.users.told(uid, orjson.loads(data), asked)
+            world.users.record_phase(uid, orjson.loads(data), asked)
             confirmed += 1
     return confirmed
 
 
 @pytest.mark.parametrize("seed", range(220, 224))
 def test_what_is_cancelled_ends_though_the_leader_can_t_know(seed: int) -> None:
-    world = play(seed, gap, nodes=(3, 5)[seed % 2])
-    assert world.met["cancelled"] > 2 and world.met["fed"] > 20
+    world = simulate(seed, cancellations_before_outage, nodes=(3, 5)[seed % 2])
+    assert world.counts["cancelled"] > 2 and world.counts["fed"] > 20
 
 
 def test_who_feeds_leases_without_proof_keeps_cancelled_tasks(
@@ -183,7 +188,10 @@
 ) -> None:
     monkeypatch.setattr(LeaseRenewal, "allowed", lambda self, relaying=False: True)
     monkeypatch.setattr(Node, "_on_cut_off_from_state", lambda self: None)
-    assert any("ran_cancelled" in b for b in broken_days(range(220, 224), gap))
+    assert any(
+        "ran_cancelled" in b
+        for b in collect_breaches(range(220, 224), cancellations_before_outage)
+    )
 
 
 # -- a leader is cut from the state service and the other controllers -----------------------
@@ -207,13 +215,13 @@
         if box is None:
             continue
         mode, seconds = world.rng.choice(["hold", "reset"]), 50.0
-        old = f"{box.name}#{box.life}"
-        world.spawn(world.network.for_a_while("state", old, mode, seconds))
+        old = f"{box.name}#{box.incarnation}"
+        world.spawn(world.network.cut_for("state", old, mode, seconds))
         for other in world.nodes:
             if other is not box:
-                there = f"{other.name}#{other.life}"
-                world.spawn(world.network.for_a_while(other.name, old, mode, seconds))
-                world.spawn(world.network.for_a_while(there, box.name, mode, seconds))
+                there = f"{other.name}#{other.incarnation}"
+                world.spawn(world.network.cut_for(other.name, old, mode, seconds))
+                world.spawn(world.network.cut_for(there, box.name, mode, seconds))
         token = box.node.leader.token if box.node and box.node.leader else 0
         for _ in range(50):
             await asyncio.sleep(0.2)
@@ -221,11 +229,11 @@
             if led:
                 break
         # Fed by the old one still: workers that have not seen the new token.
-        world.met["fed by the old"] += sum(
-            a.worker.baton == token for a in world.cloud.workers.values()
+        world.counts["fed by the old"] += sum(
+            a.worker.token == token for a in world.cloud.workers.values()
         )
         if led:
-            world.met["cancelled"] += await cancel_through(world, led, 6)
+            world.counts["cancelled"] += await cancel_through(world, led, 6)
         await asyncio.sleep(45.0)
 
 
@@ -234,8 +242,8 @@
     seed: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr("tests.test_rules.World", LongTasks)
-    world = play(seed, cut_off_leader, nodes=(3, 5)[seed % 2])
-    assert world.met["fed by the old"] > 0 and world.met["cancelled"] > 0
+    world = simulate(seed, cut_off_leader, nodes=(3, 5)[seed % 2])
+    assert world.counts["fed by the old"] > 0 and world.counts["cancelled"] > 0
 
 
 def test_a_cut_off_leader_that_feeds_on_breaks_a_rule(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -246,14 +254,14 @@
     monkeypatch.setattr("tests.test_rules.World", LongTasks)
     monkeypatch.setattr(LeaseRenewal, "allowed", lambda self, relaying=False: True)
     monkeypatch.setattr(Delivery, "probe_all", tells_nobody)
-    broken = broken_days(range(230, 236), cut_off_leader)
+    broken = collect_breaches(range(230, 236), cut_off_leader)
     assert any("ran_cancelled" in b or "ran_twice" in b for b in broken)
 
 
 # -- controllers hand over and back, all end, and one returns, also within a second ---------
 
 
-async def round_dance(world: World) -> None:
+async def leadership_changes(world: World) -> None:
     kinds = ["hand over", "back at once", "all", "in an election"]
     steps = world.rng.sample(kinds, len(kinds))
     while world.now() < BUSY_S:
@@ -274,10 +282,10 @@
             await asyncio.sleep(world.rng.uniform(2.5, 3.4))
             for node in world.rng.sample(world.nodes, 2):
                 world.spawn(node.restart(world.rng.uniform(0.05, 0.5)))
-        world.met[what] += 1
+        world.counts[what] += 1
 
 
-def _never_twice(world: World, monkeypatch: pytest.MonkeyPatch) -> None:
+def _forbid_reuse(world: World, monkeypatch: pytest.MonkeyPatch) -> None:
     """An attempt that starts again, or a rental's name that asks for something else."""
     attempts: set[tuple[str, int]] = set()
     rentals: dict[str, bytes | None] = {}
@@ -287,15 +295,15 @@
         if event.kind == "on":
             attempt = event.data["item"], event.data["attempt"]
             if attempt in attempts:
-                world.broken.append(f"reused: attempt {attempt}")
+                world.breaches.append(f"reused: attempt {attempt}")
             attempts.add(attempt)
 
     def rented(self: Cloud, method: str, target: str, body: bytes | None, now: float) -> Reply:
         if method == "POST" and target == "/hosts":
             name = orjson.loads(body or b"{}")["rental"]
-            world.met["rentals"] += name not in rentals
+            world.counts["rentals"] += name not in rentals
             if rentals.setdefault(name, body) != body:
-                world.broken.append(f"reused: rental {name}")
+                world.breaches.append(f"reused: rental {name}")
         return handle(self, method, target, body, now)
 
     world.history.listeners.append(seen)
@@ -307,12 +315,12 @@
     seed: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def dance(world: World) -> None:
-        _never_twice(world, monkeypatch)
-        await round_dance(world)
+        _forbid_reuse(world, monkeypatch)
+        await leadership_changes(world)
 
-    world = play(seed, dance, nodes=(3, 5)[seed % 2])
-    assert min(world.met[w] for w in ("hand over", "back at once", "all")) > 0, world.met
-    assert world.checker.starts > 10 and world.met["rentals"] > 3
+    world = simulate(seed, dance, nodes=(3, 5)[seed % 2])
+    assert min(world.counts[w] for w in ("hand over", "back at once", "all")) > 0, world.counts
+    assert world.checker.starts > 10 and world.counts["rentals"] > 3
 
 
 def test_tokens_that_are_not_raised_break_a_rule(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -325,17 +333,17 @@
 
     async def dance(world: World) -> None:
         with pytest.MonkeyPatch.context() as patch:
-            _never_twice(world, patch)
-            await round_dance(world)
+            _forbid_reuse(world, patch)
+            await leadership_changes(world)
 
     monkeypatch.setattr(Node, "_begin_term", with_the_old_token)
-    assert any("reused" in b for b in broken_days(range(240, 242), dance))
+    assert any("reused" in b for b in collect_breaches(range(240, 242), dance))
 
 
 # -- a command or its answer is held up for seconds, and the machine then goes on -----------
 
 
-async def held_up(world: World) -> None:
+async def delayed_commands(world: World) -> None:
     """Commands reach machines late: the way there is cut, or they hang meanwhile."""
     while world.now() < BUSY_S + 20.0:
         await asyncio.sleep(world.rng.uniform(0.5, 2.0))
@@ -344,17 +352,17 @@
             continue
         for name in world.rng.sample(names, min(3, len(names))):
             seconds = world.rng.uniform(1.0, 9.0)
-            source = f"{box.name}#{box.life}"
+            source = f"{box.name}#{box.incarnation}"
             what = world.rng.choice(["there", "back", "hang"])
             if what == "hang":
-                with world.cloud.workers[name].touched() as model:
+                with world.cloud.workers[name].modify() as model:
                     model.hang(world.now(), seconds)
             else:
                 ends = (source, name) if what == "there" else (name, source)
-                world.spawn(world.network.for_a_while(*ends, "hold", seconds, one_way=True))
+                world.spawn(world.network.cut_for(*ends, "hold", seconds, one_way=True))
 
 
-def _late_commands(monkeypatch: pytest.MonkeyPatch, met: Counter[str]) -> None:
+def _count_late_starts(monkeypatch: pytest.MonkeyPatch, met: Counter[str]) -> None:
     """Count starts that were carried out after the leader had given the call up."""
     handle = WorkerAgent.handle
 
@@ -377,12 +385,12 @@
     seed: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     met: Counter[str] = Counter()
-    _late_commands(monkeypatch, met)
-    world = play(seed, held_up)
+    _count_late_starts(monkeypatch, met)
+    world = simulate(seed, delayed_commands)
     assert met["started late"] > 0 and world.checker.starts > 20
 
 
-def give_up_with_the_call(monkeypatch: pytest.MonkeyPatch) -> None:
+def withdraw_unanswered_starts(monkeypatch: pytest.MonkeyPatch) -> None:
     call = Delivery._call
 
     async def given_up(self: Delivery, host: Host) -> bool:
@@ -399,14 +407,17 @@
 
 def test_a_start_given_up_with_its_call_breaks_a_rule(monkeypatch: pytest.MonkeyPatch) -> None:
     """No answer taken for not carried out: the task is placed elsewhere as well."""
-    give_up_with_the_call(monkeypatch)
-    assert any("ran_twice" in b or "quota" in b for b in broken_days(range(250, 258), held_up))
+    withdraw_unanswered_starts(monkeypatch)
+    assert any(
+        "ran_twice" in b or "quota" in b
+        for b in collect_breaches(range(250, 258), delayed_commands)
+    )
 
 
 # -- jobs of two or three tasks end far apart across a change of leader ---------------------
 
 
-class FarApart(World):
+class StaggeredEnds(World):
     """Jobs of two or three tasks, the last of which runs for a long time."""
 
     def make_job(self, number: int) -> dict[str, Any]:
@@ -417,34 +428,34 @@
         return job
 
 
-async def far_apart(world: World) -> None:
+async def staggered_ends(world: World) -> None:
     """The first task ends by itself, the others run on; the leader ends in between."""
 
     def seen(event: Event) -> None:
-        if event.kind == "on" and event.data["item"] in world.jobs.done:
-            world.met["again"] += 1
+        if event.kind == "on" and event.data["item"] in world.jobs.completed_tasks:
+            world.counts["again"] += 1
 
     world.history.listeners.append(seen)
     while world.now() < BUSY_S:
         await asyncio.sleep(world.rng.uniform(6.0, 12.0))
         early = {
-            task.item
+            task.task_id
             for agent in world.cloud.workers.values()
             for task in agent.worker.tasks.values()
-            if task.cause == "done"
+            if task.exit_reason == "done"
         }
         box = leader_of(world)
         if box is not None:
-            world.met["early ends at a change"] += len(early)
+            world.counts["early ends at a change"] += len(early)
             world.spawn(box.restart(world.rng.choice([0.3, 4.0])))
 
 
-def _slow_last(monkeypatch: pytest.MonkeyPatch) -> None:
+def _stagger_task_ends(monkeypatch: pytest.MonkeyPatch) -> None:
     """Task 0 of a job ends after 2 s, each further one 25 s later."""
     run = Worker._run
 
     def spread_out(self: Worker, task: Task, facts: JobFacts) -> None:
-        number = int(task.item.rpartition("/")[2])
+        number = int(task.task_id.rpartition("/")[2])
         if facts.real_s is not None:
             facts = facts._replace(real_s=2.0 + 25.0 * number)
         run(self, task, facts)
@@ -454,19 +465,19 @@
 
 @pytest.mark.parametrize("seed", range(260, 263))
 def test_an_early_end_outlives_its_leader(seed: int, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("tests.test_rules.World", FarApart)
-    _slow_last(monkeypatch)
-    world = play(seed, far_apart)
-    assert world.met["early ends at a change"] > 3
-    assert sum(phase == "done" for phase in world.told.values()) > 3
-    assert world.met["again"] == 0
+    monkeypatch.setattr("tests.test_rules.World", StaggeredEnds)
+    _stagger_task_ends(monkeypatch)
+    world = simulate(seed, staggered_ends)
+    assert world.counts["early ends at a change"] > 3
+    assert sum(phase == "done" for phase in world.final_phases.values()) > 3
+    assert world.counts["again"] == 0
 
 
 def test_an_early_end_is_lost_without_its_report(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("tests.test_rules.World", FarApart)
-    _slow_last(monkeypatch)
+    monkeypatch.setattr("tests.test_rules.World", StaggeredEnds)
+    _stagger_task_ends(monkeypatch)
     monkeypatch.setattr(Ledger, "_may_forget", lambda self, run: True)
-    assert sum(play(seed, far_apart).met["again"] for seed in range(260, 263)) > 0
+    assert sum(simulate(seed, staggered_ends).counts["again"] for seed in range(260, 263)) > 0
 
 
 # -- an old report arrives after newer ones ------------------------------------------------
@@ -475,20 +486,20 @@
 async def late_reports(world: World) -> None:
     """Copies of earlier sessions and attempts as well, to this leader and to the next."""
     world.spawn(crashes(world))
-    world.spawn(held_up(world))
+    world.spawn(delayed_commands(world))
     while True:
         for agent in world.cloud.workers.values():
-            agent.late_share = 0.4
+            agent.duplicate_share = 0.4
         await asyncio.sleep(1.0)
-        world.met["copies"] = max(
-            world.met["copies"], sum(a.copies for a in world.cloud.workers.values())
+        world.counts["copies"] = max(
+            world.counts["copies"], sum(a.copies_sent for a in world.cloud.workers.values())
         )
 
 
 @pytest.mark.parametrize("seed", range(270, 274))
 def test_an_old_report_does_not_speak_of_the_present(seed: int) -> None:
-    world = play(seed, late_reports, nodes=(3, 5)[seed % 2])
-    assert world.met["copies"] > 50 and world.checker.starts > 20
+    world = simulate(seed, late_reports, nodes=(3, 5)[seed % 2])
+    assert world.counts["copies"] > 50 and world.checker.starts > 20
 
 
 def test_an_old_report_taken_for_new_breaks_a_rule(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -510,14 +521,15 @@
 
     monkeypatch.setattr(Ledger, "ingest", whichever)
     assert any(
-        "ran_twice" in b or "quota" in b for b in broken_days(range(270, 276), late_reports)
+        "ran_twice" in b or "quota" in b
+        for b in collect_breaches(range(270, 276), late_reports)
     )
 
 
 # -- reports that can't be -----------------------------------------------------------------
 
 
-async def bad_reports(world: World) -> None:
+async def invalid_reports(world: World) -> None:
     """Malformed, of an impossible session, of a token that no leader has taken."""
     await asyncio.sleep(25.0)
     box = leader_of(world)
@@ -531,23 +543,23 @@
         orjson.dumps(good | {"units": [{"item": "x/0", "try": 1, "phase": "running"}]}),
         orjson.dumps(good | {"units": [{"item": "job-1/0", "try": 1, "phase": "flying"}]}),
     ):  # fmt: skip
-        world.met[str(box.node._report(bad).status)] += 1
+        world.counts[str(box.node._report(bad).status)] += 1
     for _ in range(50):
-        world.met[str(box.node._report(orjson.dumps(good | {"baton": 2**40})).status)] += 1
-    world.met["changed"] = sum(
+        world.counts[str(box.node._report(orjson.dumps(good | {"baton": 2**40})).status)] += 1
+    world.counts["changed"] = sum(
         before[key] != row for key, row in world.state.store.rows.items()
     )
     await asyncio.sleep(10.0)
-    world.met["still leads"] = box.node is not None and box.node.leader is leader
+    world.counts["still leads"] = box.node is not None and box.node.leader is leader
 
 
 def test_reports_that_can_t_be_change_nothing_and_end_no_term() -> None:
-    met = play(290, bad_reports).met
+    met = simulate(290, invalid_reports).counts
     assert met["400"] == 8 and met["503"] == 50
     assert met["still leads"] and not met["changed"]
 
 
-async def bad_answers(world: World) -> None:
+async def garbage_responses(world: World) -> None:
     """Workers' answers to direct calls, and peers' messages, are garbage now and then."""
     garbage = [b"", b"[]", b"{", b'{"running":[]}', b'{"age_s":"x"}', b'{"host":1,"units":{}}']
     world.spawn(crashes(world))
@@ -561,11 +573,11 @@
 
             async def spoilt(
                 method: str, target: str, body: bytes | None, source: str, serve: Any = serve
-            ) -> Answer:
+            ) -> ServiceResponse:
                 answer = await serve(method, target, body, source)
                 asked = target.startswith(("/peer/", "/orders", "/status"))
                 if asked and world.rng.random() < 0.2:
-                    world.met["garbage"] += 1
+                    world.counts["garbage"] += 1
                     return 200, world.rng.choice(garbage), 0.0
                 return answer
 
@@ -574,21 +586,26 @@
 
 
 def test_answers_that_can_t_be_read_end_nothing() -> None:
-    world = play(291, bad_answers)
-    assert world.met["garbage"] > 20 and world.checker.starts > 20
+    world = simulate(291, garbage_responses)
+    assert world.counts["garbage"] > 20 and world.checker.starts > 20
 
 
 # -- drawn at random ---------------------------------------------------------------------
 
-MEETINGS: list[Faults] = [
-    late_writes, leader_ends_before_the_deaf, gap, cut_off_leader, round_dance, held_up,
+FAULT_COMBINATIONS: list[Faults] = [
+    late_writes,
+    leader_ends_while_inbound_lost,
+    cancellations_before_outage,
+    cut_off_leader,
+    leadership_changes,
+    delayed_commands,
     late_reports,
-]  # fmt: skip
+]
 
 
-def drawn(most: int, meetings: list[Faults]) -> Faults:
+def random_faults(max_faults: int, combinations: list[Faults]) -> Faults:
     async def some(world: World) -> None:
-        for faults in world.rng.sample(meetings, world.rng.randint(2, most)):
+        for faults in world.rng.sample(combinations, world.rng.randint(2, max_faults)):
             world.spawn(faults(world))
 
     return some
@@ -596,19 +613,26 @@
 
 @pytest.mark.parametrize("seed", range(280, 286))
 def test_rules_hold_when_meetings_meet(seed: int) -> None:
-    assert play(seed, drawn(3, MEETINGS), nodes=(3, 5, 7)[seed % 3]).checker.starts > 5
+    assert (
+        simulate(
+            seed, random_faults(3, FAULT_COMBINATIONS), nodes=(3, 5, 7)[seed % 3]
+        ).checker.starts
+        > 5
+    )
 
 
-def soak(meetings: list[Faults]) -> None:
+def soak(combinations: list[Faults]) -> None:
     """Outside CI: python -m tests.test_further_meetings FIRST NUMBER (or test_meetings)."""
     first, number = (int(word) for word in sys.argv[1:3])
     for day in range(first, first + number):
         try:
-            starts = play(day, drawn(4, meetings), nodes=(3, 5, 7)[day % 3]).checker.starts
+            starts = simulate(
+                day, random_faults(4, combinations), nodes=(3, 5, 7)[day % 3]
+            ).checker.starts
             print(day, "no rule broken", starts, flush=True)
         except RuleBroken as broken:
             print(day, broken, flush=True)
 
 
 if __name__ == "__main__":
-    soak(MEETINGS)
+    soak(FAULT_COMBINATIONS)
--- a/tests/test_outside_models.py
+++ b/tests/test_outside_models.py
@@ -9,15 +9,22 @@
 import pytest
 
 from dunehold.emulator.model.balancer import Balancer
-from dunehold.emulator.model.cloud import DEAD_LISTED_S, Boots, Cloud, Flavour, Kind, What
-from dunehold.emulator.model.cuts import Cuts, Mode
+from dunehold.emulator.model.cloud import (
+    FAILED_LISTED_AS_RUNNING_S,
+    BootProfile,
+    Cloud,
+    HostEventKind,
+    HostKind,
+    MachineType,
+)
 from dunehold.emulator.model.jobs import Jobs
-from dunehold.emulator.model.worker import Machine, Route, Step, Worker, routed
+from dunehold.emulator.model.partitions import NetworkPartitions, PartitionMode
+from dunehold.emulator.model.worker import Machine, Route, TaskEventKind, Worker, next_route
 
 LEASE_S = 10.0
 
 
-def job(uid: str = "job-1", **more: Any) -> dict[str, Any]:
+def make_job(uid: str = "job-1", **more: Any) -> dict[str, Any]:
     return {
         "uid": uid, "shape": "batch", "vcpus": 2.0, "gpus": 0.0, "memory_gb": 1.0,
         "bundle": "img", "size_gb": 1.0, "expect_s": 10.0, "snapshot_s": 0.0, "flush_s": 1.0,
@@ -25,55 +32,70 @@
     }  # fmt: skip
 
 
-def worker(*rows: dict[str, Any], vcpus: float = 4.0, cache_gb: float = 10.0) -> Worker:
+def make_worker(*rows: dict[str, Any], vcpus: float = 4.0, cache_gb: float = 10.0) -> Worker:
     jobs = Jobs(random.Random(1))
-    for row in rows or (job(),):
+    for row in rows or (make_job(),):
         jobs.upload(row)
     machine = Machine("m", "m:1", "t", "a", True, vcpus, 0.0, 16.0, cache_gb, 1.0)
     return Worker(machine, jobs, LEASE_S, 0.0)
 
 
-def run(item: str, attempt: int = 1) -> dict[str, Any]:
+def run_order(item: str, attempt: int = 1) -> dict[str, Any]:
     return {"verb": "run", "item": item, "try": attempt}
 
 
-def stop(item: str, wind_down_s: float, attempt: int = 1) -> dict[str, Any]:
+def stop_order(item: str, wind_down_s: float, attempt: int = 1) -> dict[str, Any]:
     return {"verb": "stop", "item": item, "try": attempt, "wind_down_s": wind_down_s}
 
 
-def feed(box: Worker, now: float, *orders: dict[str, Any], baton: int = 1) -> bool:
-    return box.answered(now, box.tenure, {"baton": baton, "orders": list(orders)}, now)
+def answer_report(box: Worker, now: float, *orders: dict[str, Any], baton: int = 1) -> bool:
+    return box.handle_report_response(
+        now, box.session, {"baton": baton, "orders": list(orders)}, now
+    )
 
 
-def states(box: Worker) -> dict[str, str]:
+def task_states(box: Worker) -> dict[str, str]:
     rows = box.report()["units"]
     return {f"{r['item']}#{r['try']}": r.get("cause") or r["phase"] for r in rows}
 
 
-def order(box: Worker, now: float, row: Any) -> tuple[int, dict[str, Any]]:
+def post_orders(box: Worker, now: float, row: Any) -> tuple[int, dict[str, Any]]:
     answer = box.handle("POST", "/orders", orjson.dumps(row), now)
     return answer.status, orjson.loads(answer.body)
 
 
 def test_a_task_fetches_runs_and_its_result_is_kept() -> None:
-    box = worker()
-    assert feed(box, 0.0, run("job-1/0"))
-    assert states(box) == {"job-1/0#1": "pulling"}
+    box = make_worker()
+    assert answer_report(box, 0.0, run_order("job-1/0"))
+    assert task_states(box) == {"job-1/0#1": "pulling"}
     box.advance(1.5)
-    assert states(box) == {"job-1/0#1": "running"}
-    feed(box, 5.0)
+    assert task_states(box) == {"job-1/0#1": "running"}
+    answer_report(box, 5.0)
     box.advance(11.5)
-    assert states(box) == {"job-1/0#1": "done"}
-    assert [h.step for h in box.happened] == [Step.ON, Step.COMPLETED, Step.OFF]
-    feed(box, 11.5, {"verb": "reap", "item": "job-1/0", "try": 1}, run("job-1/0", 2))
+    assert task_states(box) == {"job-1/0#1": "done"}
+    assert [h.kind for h in box.events] == [
+        TaskEventKind.STARTED,
+        TaskEventKind.COMPLETED,
+        TaskEventKind.ENDED,
+    ]
+    answer_report(
+        box, 11.5, {"verb": "reap", "item": "job-1/0", "try": 1}, run_order("job-1/0", 2)
+    )
     box.advance(11.6)
-    assert states(box) == {"job-1/0#2": "done"}
+    assert task_states(box) == {"job-1/0#2": "done"}
 
 
 def test_refusals_unknown_in_use_no_room() -> None:
-    box = worker(job(), job("job-2", vcpus=3.0))
-    feed(box, 0.0, run("job-9/0"), run("job-1/0"), run("job-1/0", 2), run("job-2/0"))
-    assert states(box) == {
+    box = make_worker(make_job(), make_job("job-2", vcpus=3.0))
+    answer_report(
+        box,
+        0.0,
+        run_order("job-9/0"),
+        run_order("job-1/0"),
+        run_order("job-1/0", 2),
+        run_order("job-2/0"),
+    )
+    assert task_states(box) == {
         "job-9/0#1": "unknown",
         "job-1/0#1": "pulling",
         "job-1/0#2": "in_use",
@@ -82,162 +104,175 @@
 
 
 def test_a_repeated_run_has_no_effect_until_it_is_reaped() -> None:
-    box = worker()
-    feed(box, 0.0, run("job-1/0"), stop("job-1/0", 0.0), run("job-1/0"))
-    assert states(box) == {"job-1/0#1": "halted"}
-    feed(box, 0.1, {"verb": "reap", "item": "job-1/0", "try": 1}, run("job-1/0"))
-    assert states(box) == {"job-1/0#1": "pulling"}
+    box = make_worker()
+    answer_report(
+        box, 0.0, run_order("job-1/0"), stop_order("job-1/0", 0.0), run_order("job-1/0")
+    )
+    assert task_states(box) == {"job-1/0#1": "halted"}
+    answer_report(box, 0.1, {"verb": "reap", "item": "job-1/0", "try": 1}, run_order("job-1/0"))
+    assert task_states(box) == {"job-1/0#1": "pulling"}
 
 
 def test_one_fetch_serves_all_and_is_given_up_when_none_waits() -> None:
-    box = worker(job(), job("job-2", bundle="other", size_gb=3.0))
-    feed(box, 0.0, run("job-1/0"), run("job-2/0"))
-    feed(box, 1.0, stop("job-2/0", 0.0))  # half a GB each so far; now all for the first
+    box = make_worker(make_job(), make_job("job-2", bundle="other", size_gb=3.0))
+    answer_report(box, 0.0, run_order("job-1/0"), run_order("job-2/0"))
+    answer_report(
+        box, 1.0, stop_order("job-2/0", 0.0)
+    )  # half a GB each so far; now all for the first
     box.advance(1.6)
-    assert states(box)["job-1/0#1"] == "running"
-    feed(box, 1.6, run("job-2/1"))
+    assert task_states(box)["job-1/0#1"] == "running"
+    answer_report(box, 1.6, run_order("job-2/1"))
     box.advance(4.0)
-    assert states(box)["job-2/1#1"] == "pulling"  # begun anew
+    assert task_states(box)["job-2/1#1"] == "pulling"  # begun anew
 
 
 def test_images_fetched_at_the_same_time_share_the_rate() -> None:
-    box = worker(job(), job("job-2", bundle="other"))
-    feed(box, 0.0, run("job-1/0"), run("job-2/0"))
+    box = make_worker(make_job(), make_job("job-2", bundle="other"))
+    answer_report(box, 0.0, run_order("job-1/0"), run_order("job-2/0"))
     box.advance(1.9)
-    assert set(states(box).values()) == {"pulling"}
+    assert set(task_states(box).values()) == {"pulling"}
     box.advance(2.1)
-    assert set(states(box).values()) == {"running"}
+    assert set(task_states(box).values()) == {"running"}
 
 
 def test_the_cache_keeps_the_images_used_last() -> None:
-    rows = [job(f"job-{n}", bundle=f"i{n}", size_gb=4.0, real_s=0.1) for n in range(3)]
-    box = worker(*rows, cache_gb=8.0)
+    rows = [make_job(f"job-{n}", bundle=f"i{n}", size_gb=4.0, real_s=0.1) for n in range(3)]
+    box = make_worker(*rows, cache_gb=8.0)
     for n in range(3):
-        feed(box, n * 6.0, run(f"job-{n}/0"))
+        answer_report(box, n * 6.0, run_order(f"job-{n}/0"))
         box.advance(n * 6.0 + 5.0)
-    feed(box, 18.0, run("job-2/1"), run("job-0/1"))
-    assert states(box)["job-2/1#1"] == "running"
-    assert states(box)["job-0/1#1"] == "pulling"
+    answer_report(box, 18.0, run_order("job-2/1"), run_order("job-0/1"))
+    assert task_states(box)["job-2/1#1"] == "running"
+    assert task_states(box)["job-0/1#1"] == "pulling"
 
 
 def test_stopping_saves_where_there_is_time_and_not_otherwise() -> None:
-    box = worker(job(snapshot_s=3.0))
-    feed(box, 0.0, run("job-1/0"))
+    box = make_worker(make_job(snapshot_s=3.0))
+    answer_report(box, 0.0, run_order("job-1/0"))
     box.advance(5.0)
-    feed(box, 5.0, stop("job-1/0", 1.0))
-    assert states(box) == {"job-1/0#1": "flushing"}
+    answer_report(box, 5.0, stop_order("job-1/0", 1.0))
+    assert task_states(box) == {"job-1/0#1": "flushing"}
     box.advance(6.1)
     assert box.report()["units"][0] | {"kept": True} == box.report()["units"][0]
-    feed(box, 6.1, run("job-1/0", 2))
+    answer_report(box, 6.1, run_order("job-1/0", 2))
     box.advance(11.9)
-    assert states(box)["job-1/0#2"] == "running"  # 10 s less the 4 s saved
+    assert task_states(box)["job-1/0#2"] == "running"  # 10 s less the 4 s saved
     box.advance(12.2)
-    assert states(box)["job-1/0#2"] == "done"
+    assert task_states(box)["job-1/0#2"] == "done"
 
 
 def test_a_second_stop_ends_a_task_that_saves() -> None:
-    box = worker(job(snapshot_s=30.0, flush_s=5.0))
-    feed(box, 0.0, run("job-1/0"))
+    box = make_worker(make_job(snapshot_s=30.0, flush_s=5.0))
+    answer_report(box, 0.0, run_order("job-1/0"))
     box.advance(2.0)
-    feed(box, 2.0, stop("job-1/0", 5.0))
-    feed(box, 2.5, stop("job-1/0", 3.0))
-    assert states(box) == {"job-1/0#1": "flushing"}
-    feed(box, 3.0, stop("job-1/0", 0.0))
-    assert states(box) == {"job-1/0#1": "halted"}
+    answer_report(box, 2.0, stop_order("job-1/0", 5.0))
+    answer_report(box, 2.5, stop_order("job-1/0", 3.0))
+    assert task_states(box) == {"job-1/0#1": "flushing"}
+    answer_report(box, 3.0, stop_order("job-1/0", 0.0))
+    assert task_states(box) == {"job-1/0#1": "halted"}
     assert "kept" not in box.report()["units"][0]
 
 
 def test_checkpoints_of_its_own_outlive_the_machine() -> None:
-    box = worker(job(snapshot_s=3.0))
-    feed(box, 0.0, run("job-1/0"))
-    box.vanish(8.0)  # 7 s of progress: two checkpoints
-    assert box.outside.progress("job-1/0") == pytest.approx(6.0)
+    box = make_worker(make_job(snapshot_s=3.0))
+    answer_report(box, 0.0, run_order("job-1/0"))
+    box.power_off(8.0)  # 7 s of progress: two checkpoints
+    assert box.job_data.progress("job-1/0") == pytest.approx(6.0)
 
 
 def test_tokens_a_lower_one_is_dropped_and_renews_nothing() -> None:
-    box = worker()
-    feed(box, 0.0, baton=5)
-    assert not feed(box, 6.0, run("job-1/0"), baton=4)
-    assert not box.answered(6.0, box.tenure, {"orders": [run("job-1/0")]}, 6.0)
-    assert states(box) == {}
+    box = make_worker()
+    answer_report(box, 0.0, baton=5)
+    assert not answer_report(box, 6.0, run_order("job-1/0"), baton=4)
+    assert not box.handle_report_response(
+        6.0, box.session, {"orders": [run_order("job-1/0")]}, 6.0
+    )
+    assert task_states(box) == {}
     box.advance(10.1)
-    assert box.tenure == 2  # the lease of 0.0 is over
-    assert box.baton == 5
+    assert box.session == 2  # the lease of 0.0 is over
+    assert box.token == 5
 
 
 def test_direct_orders_need_token_and_session_and_renew_no_lease() -> None:
-    box = worker()
-    assert order(box, 0.0, {"baton": 3, "orders": []})[0] == 400
-    assert order(box, 0.0, {"tenure": 1, "orders": []})[0] == 400
-    assert order(box, 0.0, {"baton": 3, "tenure": 2, "orders": [run("job-1/0")]})[0] == 409
-    status, row = order(box, 0.0, {"baton": 3, "tenure": 1, "orders": [run("job-1/0")]})
+    box = make_worker()
+    assert post_orders(box, 0.0, {"baton": 3, "orders": []})[0] == 400
+    assert post_orders(box, 0.0, {"tenure": 1, "orders": []})[0] == 400
+    assert (
+        post_orders(box, 0.0, {"baton": 3, "tenure": 2, "orders": [run_order("job-1/0")]})[0]
+        == 409
+    )
+    status, row = post_orders(
+        box, 0.0, {"baton": 3, "tenure": 1, "orders": [run_order("job-1/0")]}
+    )
     assert (status, row["baton"], len(row["units"])) == (200, 3, 1)
-    assert order(box, 9.9, {"baton": 2, "tenure": 1, "orders": []})[0] == 409
-    assert order(box, 9.9, {"baton": 3, "tenure": 1, "orders": []})[0] == 200
+    assert post_orders(box, 9.9, {"baton": 2, "tenure": 1, "orders": []})[0] == 409
+    assert post_orders(box, 9.9, {"baton": 3, "tenure": 1, "orders": []})[0] == 200
     box.advance(10.1)
-    assert (box.tenure, states(box)) == (2, {})
+    assert (box.session, task_states(box)) == (2, {})
 
 
 def test_answers_of_an_earlier_session_and_late_ones_are_dropped() -> None:
-    box = worker()
+    box = make_worker()
     box.advance(10.1)
-    assert not box.answered(9.0, 1, {"baton": 1, "orders": []}, 10.2)
-    assert not box.answered(10.2, 2, {"baton": 1, "orders": []}, 14.3)
+    assert not box.handle_report_response(9.0, 1, {"baton": 1, "orders": []}, 10.2)
+    assert not box.handle_report_response(10.2, 2, {"baton": 1, "orders": []}, 14.3)
 
 
 def test_a_lost_lease_kills_and_forgets_everything() -> None:
-    box = worker(job(real_s=60.0))
-    feed(box, 0.0, run("job-1/0"))
+    box = make_worker(make_job(real_s=60.0))
+    answer_report(box, 0.0, run_order("job-1/0"))
     box.advance(10.1)
-    assert (states(box), box.tenure, box.killed) == ({}, 2, 1)
-    assert box.happened[-1].why == "lease"
+    assert (task_states(box), box.session, box.killed_tasks) == ({}, 2, 1)
+    assert box.events[-1].reason == "lease"
 
 
 def test_a_hanging_machine_does_nothing_and_may_resume_within_its_lease() -> None:
-    box = worker(job(real_s=4.0))
-    feed(box, 0.0, run("job-1/0"))
+    box = make_worker(make_job(real_s=4.0))
+    answer_report(box, 0.0, run_order("job-1/0"))
     box.advance(2.0)
     box.hang(2.0, 6.0)
     box.advance(7.9)
-    assert states(box) == {"job-1/0#1": "running"}
-    feed(box, 8.0)
+    assert task_states(box) == {"job-1/0#1": "running"}
+    answer_report(box, 8.0)
     box.advance(10.9)
-    assert states(box) == {"job-1/0#1": "running"}  # six seconds were lost
+    assert task_states(box) == {"job-1/0#1": "running"}  # six seconds were lost
     box.advance(11.1)
-    assert states(box) == {"job-1/0#1": "done"}
+    assert task_states(box) == {"job-1/0#1": "done"}
 
 
 def test_sick_and_slow_machines() -> None:
-    box = worker(job(real_s=4.0))
-    box.sick = True
-    feed(box, 0.0, run("job-1/0"))
+    box = make_worker(make_job(real_s=4.0))
+    box.faulty = True
+    answer_report(box, 0.0, run_order("job-1/0"))
     box.advance(2.0)
-    assert states(box) == {"job-1/0#1": "error"}
-    box.sick = False
-    feed(box, 2.0, run("job-1/1"))
+    assert task_states(box) == {"job-1/0#1": "error"}
+    box.faulty = False
+    answer_report(box, 2.0, run_order("job-1/1"))
     box.advance(4.0)
     box.set_speed(4.0, 0.5)
     box.advance(7.9)
-    assert states(box)["job-1/1#1"] == "running"
+    assert task_states(box)["job-1/1#1"] == "running"
     box.advance(8.1)
-    assert states(box)["job-1/1#1"] == "done"
+    assert task_states(box)["job-1/1#1"] == "done"
 
 
 def test_reports_go_where_they_are_sent_or_round() -> None:
     nodes = ["x", "y", "z"]
-    assert routed(nodes, 0, 200, {}, 0.3) == Route(0, None)
-    assert routed(nodes, 0, 421, {"steward": "z"}, 0.3) == Route(2, 0.3)
+    assert next_route(nodes, 0, 200, {}, 0.3) == Route(0, None)
+    assert next_route(nodes, 0, 421, {"steward": "z"}, 0.3) == Route(2, 0.3)
     for row in ({}, {"steward": "x"}, {"steward": "nobody"}):
-        assert routed(nodes, 0, 421, row, 0.3) == Route(1, 1.0)
-    assert routed(nodes, 2, 503, {}, 0.3) == routed(nodes, 2, 0, {}, 0.3) == Route(0, 1.0)
+        assert next_route(nodes, 0, 421, row, 0.3) == Route(1, 1.0)
+    assert (
+        next_route(nodes, 2, 503, {}, 0.3) == next_route(nodes, 2, 0, {}, 0.3) == Route(0, 1.0)
+    )
 
 
 # -- cloud -------------------------------------------------------------------------------
 
 
-def cloud(count: int = 5, **more: Any) -> Cloud:
-    flavour = Flavour("t", 4.0, 16.0, 3.6, 1.2, 10.0, ("a",))
-    kinds = {Kind("t", "a", loaner): count for loaner in (True, False)}
+def make_cloud(count: int = 5, **more: Any) -> Cloud:
+    flavour = MachineType("t", 4.0, 16.0, 3.6, 1.2, 10.0, ("a",))
+    kinds = {HostKind("t", "a", loaner): count for loaner in (True, False)}
     return Cloud({"t": flavour}, kinds, random.Random(1), lambda n: f"h{n}:1", **more)
 
 
@@ -253,7 +288,7 @@
 
 
 def test_rentals_are_filled_in_part_refused_and_repeat_their_answer() -> None:
-    box = cloud()
+    box = make_cloud()
     status, first = rent(box, "r", 3)
     assert (status, len(first["hosts"])) == (200, 3)
     assert rent(box, "r", 3) == (200, first)
@@ -267,13 +302,13 @@
 
 
 def test_boots_take_their_time_some_for_ever() -> None:
-    box = cloud(60)
+    box = make_cloud(60)
     rent(box, "r", 50)
     box.advance(15.1)
-    up = [e for e in box.happened if e.what is What.UP]
+    up = [e for e in box.events if e.kind is HostEventKind.UP]
     assert len(up) == 50
     assert all(6.0 <= event.at <= 15.0 for event in up)
-    box.boots = Boots(dead=1.0)
+    box.boot_profile = BootProfile(never_share=1.0)
     name = rent(box, "s", 1, 20.0)[1]["hosts"][0]
     box.advance(2000.0)
     _, row = call(box, "GET", "/hosts", None, 2000.0)
@@ -281,18 +316,18 @@
 
 
 def test_lists_lag_and_keep_the_dead_for_a_while() -> None:
-    box = cloud(list_lag_s=2.0)
+    box = make_cloud(list_lag_s=2.0)
     name = rent(box, "r", 1)[1]["hosts"][0]
     assert call(box, "GET", "/hosts", None, 0.2)[1]["hosts"] == []
     for tick in range(1, 100):
         box.advance(tick / 2)
     assert call(box, "GET", "/hosts", None, 50.0)[1]["hosts"][0]["phase"] == "running"
-    box.fail(name, 50.0)
+    box.fail_host(name, 50.0)
     phases = {}
     for tick in range(100, 200):
         box.advance(tick / 2)
         phases[tick / 2] = call(box, "GET", "/hosts", None, tick / 2)[1]["hosts"][0]["phase"]
-    assert phases[50.0 + DEAD_LISTED_S * 0.7] == "running"
+    assert phases[50.0 + FAILED_LISTED_AS_RUNNING_S * 0.7] == "running"
     assert phases[99.5] == "failed"
     call(box, "POST", "/hosts/delete", {"hosts": [name]}, 100.0)
     for tick in range(200, 220):
@@ -302,7 +337,7 @@
 
 
 def test_pages_of_the_list() -> None:
-    box = cloud()
+    box = make_cloud()
     names = rent(box, "r", 5)[1]["hosts"]
     _, row = call(box, "GET", "/hosts?most=2")
     assert ([h["uid"] for h in row["hosts"]], row["more"]) == (names[:2], True)
@@ -311,7 +346,7 @@
 
 
 def test_rates_and_outages() -> None:
-    box = cloud(rps=2.0)
+    box = make_cloud(rps=2.0)
     assert [call(box, "GET", "/hosts")[0] for _ in range(5)] == [200] * 4 + [429]
     assert call(box, "GET", "/hosts", None, 0.6)[0] == 200
     box.down = True
@@ -319,7 +354,7 @@
 
 
 def test_what_is_paid() -> None:
-    box = cloud()
+    box = make_cloud()
     names = rent(box, "r", 2)[1]["hosts"]
     call(box, "POST", "/hosts/delete", {"hosts": names[:1]}, 20.0)
     assert box.spent == pytest.approx(3.6 * 60 / 3600)  # at least 60 s
@@ -328,9 +363,9 @@
 
 
 def test_spot_prices_move_around_the_nominal_one_and_hold_for_machines_rented_before() -> None:
-    box = cloud()
+    box = make_cloud()
     name = rent(box, "r", 1, loaner=True)[1]["hosts"][0]
-    seen, paid, before = set(), 0.0, box.flavours["t"].spot_price
+    seen, paid, before = set(), 0.0, box.machine_types["t"].spot_price
     for now in range(0, 601, 20):
         _, row = call(box, "GET", "/flavors", None, float(now))
         assert row["flavours"][0]["price"] == 3.6
@@ -344,17 +379,17 @@
 
 
 def test_spot_machines_go_with_a_notice_or_without() -> None:
-    box = cloud()
+    box = make_cloud()
     names = rent(box, "r", 2, loaner=True)[1]["hosts"]
     box.advance(20.0)
-    box.happened.clear()
-    box.take_back(names[0], 20.0, silent=True)
-    box.take_back(names[1], 20.0, silent=False)
+    box.events.clear()
+    box.reclaim_host(names[0], 20.0, silent=True)
+    box.reclaim_host(names[1], 20.0, silent=False)
     box.advance(60.0)
-    notice = next(e for e in box.happened if e.what is What.NOTICE)
+    notice = next(e for e in box.events if e.kind is HostEventKind.NOTICE)
     assert notice.host == names[1]
     assert 5.0 <= notice.notice_s <= 15.0
-    gone = {e.host: e.at for e in box.happened if e.what is What.GONE}
+    gone = {e.host: e.at for e in box.events if e.kind is HostEventKind.GONE}
     assert gone[names[0]] == 20.0
     assert gone[names[1]] == pytest.approx(20.0 + notice.notice_s)
     assert box.hosts == {}
@@ -364,66 +399,68 @@
 
 
 def test_health_two_failures_out_two_successes_back_after_a_pause_that_doubles() -> None:
-    box, rng = Balancer.of(["x", "y"]), random.Random(1)
-    box.probed("x", True, 0.0)  # one is enough at first
+    box, rng = Balancer.from_names(["x", "y"]), random.Random(1)
+    box.record_probe("x", True, 0.0)  # one is enough at first
     assert box.choose(0.0, rng, set()) == "x"
     at = 0.0
     for pause in (3.0, 6.0, 12.0):
-        box.probed("x", False, at)
-        box.probed("x", False, at)
+        box.record_probe("x", False, at)
+        box.record_probe("x", False, at)
         assert box.choose(at, rng, set()) is None
-        box.probed("x", True, at + pause - 0.5)
-        box.probed("x", True, at + pause - 0.1)
+        box.record_probe("x", True, at + pause - 0.5)
+        box.record_probe("x", True, at + pause - 0.1)
         assert box.choose(at, rng, set()) is None
-        box.probed("x", True, at + pause)
+        box.record_probe("x", True, at + pause)
         at += pause
         assert box.choose(at, rng, set()) == "x"
 
 
 def test_three_failures_among_six_probes_are_enough() -> None:
-    box = Balancer.of(["x"])
+    box = Balancer.from_names(["x"])
     for good in (True, False, True, False, True, False):
-        box.probed("x", good, 0.0)
+        box.record_probe("x", good, 0.0)
     assert not box.backends["x"].healthy
 
 
 def test_skips_after_three_failed_connections_and_three_tries_in_all() -> None:
-    box, rng = Balancer.of(["v", "w", "x", "y"]), random.Random(1)
+    box, rng = Balancer.from_names(["v", "w", "x", "y"]), random.Random(1)
     for name in box.backends:
-        box.probed(name, True, 0.0)
+        box.record_probe(name, True, 0.0)
     for _ in range(3):
-        box.failed("x", 20.0)
+        box.connection_failed("x", 20.0)
     chosen = {box.choose(20.0 + t / 10, rng, set()) for t in range(29)}
     assert "x" not in chosen
     assert box.choose(20.0, rng, {"v", "w", "y"}) is None
     for name in ("v", "w", "y"):
         for _ in range(200):
-            box.connected(name)
+            box.connection_opened(name)
     assert box.choose(23.1, rng, set()) == "x"  # fewer open connections
 
 
 def test_a_node_that_turns_healthy_is_ramped_and_one_that_does_not_is_reset() -> None:
-    box, rng = Balancer.of(["x", "y"]), random.Random(1)
-    box.probed("x", True, 0.0)
-    box.probed("y", True, 99.0)
+    box, rng = Balancer.from_names(["x", "y"]), random.Random(1)
+    box.record_probe("x", True, 0.0)
+    box.record_probe("y", True, 99.0)
     young = [box.choose(100.0, rng, set()) for _ in range(200)].count("y")
     later = [box.choose(120.0, rng, set()) for _ in range(200)].count("y")
     assert young < 40 < later
-    box.connected("x")
-    box.probed("x", False, 120.0)
-    box.probed("x", False, 120.0)
-    assert box.to_reset(124.0) == []
-    assert box.to_reset(125.0) == ["x"]
+    box.connection_opened("x")
+    box.record_probe("x", False, 120.0)
+    box.record_probe("x", False, 120.0)
+    assert box.backends_to_reset(124.0) == []
+    assert box.backends_to_reset(125.0) == ["x"]
 
 
 def test_cuts_by_host_zone_and_group() -> None:
-    cuts = Cuts({"n0": ("a", "@nodes"), "n1": ("b", "@nodes"), "m": ("b", "@machines")})
-    assert cuts.between("n0", "m") is None
-    cuts.begin("a", "b", Mode.HOLD)
-    assert cuts.between("n0", "m") is cuts.between("m", "n0") is Mode.HOLD
-    assert cuts.between("n1", "m") is None
-    assert cuts.between("n0", "state") is None
+    cuts = NetworkPartitions(
+        {"n0": ("a", "@nodes"), "n1": ("b", "@nodes"), "m": ("b", "@machines")}
+    )
+    assert cuts.mode_between("n0", "m") is None
+    cuts.begin("a", "b", PartitionMode.HOLD)
+    assert cuts.mode_between("n0", "m") is cuts.mode_between("m", "n0") is PartitionMode.HOLD
+    assert cuts.mode_between("n1", "m") is None
+    assert cuts.mode_between("n0", "state") is None
     cuts.end("b", "a")
-    cuts.begin("@nodes", "@machines", Mode.RESET)
-    assert cuts.between("n1", "m") is Mode.RESET
-    assert cuts.between("n0", "n1") is None
+    cuts.begin("@nodes", "@machines", PartitionMode.RESET)
+    assert cuts.mode_between("n1", "m") is PartitionMode.RESET
+    assert cuts.mode_between("n0", "n1") is None
--- a/tests/test_repeat.py
+++ b/tests/test_repeat.py
@@ -7,12 +7,13 @@
 import sys
 from pathlib import Path
 
-DAY = """
-from tests.test_rules import bad_nights, play
+SIMULATION_SCRIPT = """
+from tests.test_rules import mixed_faults, simulate
 for seed in (80, 83):
-    world = play(seed, bad_nights, nodes=5)
-    print(world.checker.starts, world.killed, world.errors, len(world.jobs.done))
-    print(world.state.store.revision, sorted(world.told.items()))
+    world = simulate(seed, mixed_faults, nodes=5)
+    completed = len(world.jobs.completed_tasks)
+    print(world.checker.starts, world.killed_tasks, world.failed_tasks, completed)
+    print(world.state.store.revision, sorted(world.final_phases.items()))
 """
 
 
@@ -21,7 +22,7 @@
     seen = set()
     for seed in ("0", "1", "12345"):
         done = subprocess.run(
-            [sys.executable, "-c", DAY],
+            [sys.executable, "-c", SIMULATION_SCRIPT],
             cwd=root,
             env={**os.environ, "PYTHONHASHSEED": seed},
             capture_output=True,
--- a/tests/test_store_model.py
+++ b/tests/test_store_model.py
@@ -14,8 +14,8 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
-from dunehold.emulator.agents.outside import StateAgent
-from dunehold.emulator.keeper import DiskKeeper
+from dunehold.emulator.agents.external_services import StateAgent
+from dunehold.emulator.disk_storage import DiskStorage
 from dunehold.emulator.model.base import Reply
 from dunehold.emulator.model.store import Limits, Store, Watch
 
@@ -46,14 +46,14 @@
         self.rows: dict[str, tuple[int, int, int | None]] = {}
         self.revision = 0
         self.leases: dict[int, tuple[float, float]] = {}
-        self.seen: dict[str, int] = {}  # rebuilt from changes alone
-        self.seen_to = 0
+        self.rebuilt: dict[str, int] = {}  # rebuilt from changes alone
+        self.seen_revision = 0
 
     def _expire(self) -> None:
         for grant in [g for g, (_, ends) in self.leases.items() if ends < self.now]:
-            self._end(grant)
+            self._end_lease(grant)
 
-    def _end(self, grant: int) -> None:
+    def _end_lease(self, grant: int) -> None:
         del self.leases[grant]
         held = [key for key, row in self.rows.items() if row[2] == grant]
         self.revision += bool(held)
@@ -113,7 +113,7 @@
         status, _ = ask(self.store, how[0], f"/leases/{grant}{how[1]}", None, self.now)
         assert status == (200 if grant in self.leases else 404)
         if grant in self.leases and ends:
-            self._end(grant)
+            self._end_lease(grant)
         elif grant in self.leases:
             life = self.leases[grant][0]
             self.leases[grant] = (life, self.now + life)
@@ -134,15 +134,15 @@
     @invariant()
     def changes_alone_rebuild_it(self) -> None:
         _, row = ask(
-            self.store, "GET", f"/changes?starts=&after={self.seen_to}", None, self.now
+            self.store, "GET", f"/changes?starts=&after={self.seen_revision}", None, self.now
         )
         for change in row["news"]:
             if "drop" in change:
-                self.seen.pop(change["drop"], None)
+                self.rebuilt.pop(change["drop"], None)
             else:
-                self.seen[change["put"]] = change["v"]
-        self.seen_to = row["epoch"]
-        assert self.seen == {k: v[0] for k, v in self.rows.items()}
+                self.rebuilt[change["put"]] = change["v"]
+        self.seen_revision = row["epoch"]
+        assert self.rebuilt == {k: v[0] for k, v in self.rows.items()}
 
 
 TestAgainstReference = AgainstReference.TestCase
@@ -209,7 +209,7 @@
     store = Store()
     _, row = ask(store, "POST", "/leases", {"life_ms": 1000}, who="n0")
     put(store, "k", grant=row["grant"])
-    store.refused.add("n0")
+    store.refused_sources.add("n0")
     assert ask(store, "POST", f"/leases/{row['grant']}/extend", None, 0.5, "n0")[0] == 503
     assert ask(store, "GET", "/store/k", None, 1.5, "n1")[0] == 404
 
@@ -242,14 +242,14 @@
         if begin == "outage":
             store.begin_outage()
         else:
-            store.refused.add("n0")
+            store.refused_sources.add("n0")
         began = loop.time()
         await asyncio.sleep(0.4)
         assert not watch.done()
         assert (await agent.handle("GET", "/store/k", None, "n0")).status == 503
         store.end_outage(loop.time())
-        store.refused.clear()
-        agent.poke()
+        store.refused_sources.clear()
+        agent.wake_watches()
         answer = await asyncio.wait_for(watch, 1.0)
         assert answer.status == 200
         return loop.time() - began
@@ -275,15 +275,15 @@
 
 
 def test_a_cold_start_keeps_everything_and_gives_leases_their_full_time(tmp_path: Path) -> None:
-    keeper = DiskKeeper(tmp_path / "s", 1 << 20)
-    store = Store(keeper=keeper)
+    keeper = DiskStorage(tmp_path / "s", 1 << 20)
+    store = Store(storage=keeper)
     _, row = ask(store, "POST", "/leases", {"life_ms": 1000})
     put(store, "held", {"x": 1}, grant=row["grant"])
     put(store, "kept", [1, 2])
     put(store, "gone")
     ask(store, "POST", "/txn", {"writes": [{"drop": "gone"}]})
     keeper.close()
-    cold = Store(keeper=(reopened := DiskKeeper(tmp_path / "s", 1 << 20)))
+    cold = Store(storage=(reopened := DiskStorage(tmp_path / "s", 1 << 20)))
     reopened.restore(cold, 100.0)
     assert cold.revision == store.revision
     assert ask(cold, "GET", "/store/kept", None, 100.0)[1]["v"] == [1, 2]
@@ -297,8 +297,8 @@
 
 
 def test_a_full_disk_is_a_clear_error_and_loses_nothing(tmp_path: Path) -> None:
-    keeper = DiskKeeper(tmp_path / "s", 128 * 1024)
-    store = Store(keeper=keeper)
+    keeper = DiskStorage(tmp_path / "s", 128 * 1024)
+    store = Store(storage=keeper)
     n = 0
     while put(store, f"k{n}", "x" * 3000) == 200:
         n += 1
@@ -307,19 +307,19 @@
     status, answer = ask(store, "POST", "/txn", row)
     assert (status, answer["error"]) == (503, "no space left on the device")
     keeper.close()
-    cold = Store(keeper=(reopened := DiskKeeper(tmp_path / "s", 1 << 20)))
+    cold = Store(storage=(reopened := DiskStorage(tmp_path / "s", 1 << 20)))
     reopened.restore(cold, 0.0)
     assert sorted(cold.rows) == sorted(f"k{i}" for i in range(n))
     assert cold.revision == store.revision == n
     reopened.close()
 
 
-DIES = """
+KILLED_WRITER_SCRIPT = """
 import os, sys
 from pathlib import Path
-from dunehold.emulator.keeper import DiskKeeper
+from dunehold.emulator.disk_storage import DiskStorage
 from dunehold.emulator.model.store import Row
-keeper = DiskKeeper(Path(sys.argv[1]))
+keeper = DiskStorage(Path(sys.argv[1]))
 for n in range(1, 6):
     keeper.commit(n, {f"k{n}": Row(b"1", n, None), "all": Row(b"%d" % n, n, None)}, {})
 os.kill(os.getpid(), 9)
@@ -328,10 +328,11 @@
 
 def test_what_was_committed_outlives_a_kill(tmp_path: Path) -> None:
     done = subprocess.run(
-        [sys.executable, "-c", DIES, str(tmp_path / "s")], cwd=Path(__file__).parent.parent
+        [sys.executable, "-c", KILLED_WRITER_SCRIPT, str(tmp_path / "s")],
+        cwd=Path(__file__).parent.parent,
     )
     assert done.returncode == -9
-    store = Store(keeper=(keeper := DiskKeeper(tmp_path / "s")))
+    store = Store(storage=(keeper := DiskStorage(tmp_path / "s")))
     keeper.restore(store, 0.0)
     assert (store.revision, store.rows["all"].value) == (5, b"5")
     keeper.close()
--- a/tests/test_transport.py
+++ b/tests/test_transport.py
@@ -18,7 +18,7 @@
     Response,
 )
 from dunehold.transport.rate_limiter import RateLimiter
-from tests.virtual import VirtualLoop
+from tests.virtual_time import VirtualLoop
 
 
 async def echo(request: Request) -> Response:
@@ -29,9 +29,11 @@
     return Response(200, request.body or b"{}")
 
 
-def served(use: Callable[[int], Awaitable[None]], most: int = 20, idle_s: float = 90.0) -> None:
+def with_server(
+    use: Callable[[int], Awaitable[None]], max_connections: int = 20, idle_s: float = 90.0
+) -> None:
     async def run() -> None:
-        server = await HttpServer(echo, most, idle_s).start("127.0.0.1", 0)
+        server = await HttpServer(echo, max_connections, idle_s).start("127.0.0.1", 0)
         try:
             async with asyncio.timeout(20.0):
                 await use(server.sockets[0].getsockname()[1])
@@ -41,7 +43,7 @@
     asyncio.run(run())
 
 
-async def raw(port: int, data: bytes) -> bytes:
+async def send_raw(port: int, data: bytes) -> bytes:
     reader, writer = await asyncio.open_connection("127.0.0.1", port)
     writer.write(data)
     try:
@@ -53,11 +55,11 @@
 def test_malformed_and_oversized_requests_are_refused_and_end_nothing() -> None:
     async def use(port: int) -> None:
         rng = random.Random(1)
-        assert b" 400 " in await raw(port, b"NOT HTTP AT ALL\r\n\r\n")
+        assert b" 400 " in await send_raw(port, b"NOT HTTP AT ALL\r\n\r\n")
         long = b"POST /x HTTP/1.1\r\nHost: x\r\nContent-Length: 70000\r\n\r\n" + b"a" * 70000
-        assert b" 413 " in await raw(port, long)
+        assert b" 413 " in await send_raw(port, long)
         wide = b"GET / HTTP/1.1\r\nHost: x\r\nX: " + b"a" * 300000 + b"\r\n\r\n"
-        assert b" 431 " in await raw(port, wide)
+        assert b" 431 " in await send_raw(port, wide)
         for _ in range(30):
             _, writer = await asyncio.open_connection("127.0.0.1", port)
             writer.write(rng.randbytes(rng.randrange(1, 300)))
@@ -65,25 +67,25 @@
         status, body = await HttpClient("127.0.0.1", port).request("POST", "/", b"[1]", 5.0)
         assert (status, body) == (200, b"[1]")
 
-    served(use)
+    with_server(use)
 
 
 def test_a_handler_s_mistake_is_a_503_and_a_busy_answer_says_when_to_come_back() -> None:
     async def use(port: int) -> None:
         client = HttpClient("127.0.0.1", port)
         assert (await client.request("GET", "/fails", None, 5.0))[0] == 503
-        answer = await raw(port, b"GET /busy HTTP/1.1\r\nHost: x\r\n\r\n")
+        answer = await send_raw(port, b"GET /busy HTTP/1.1\r\nHost: x\r\n\r\n")
         assert b"Retry-After: 3" in answer and b"Connection: close" in answer
 
-    served(use)
+    with_server(use)
 
 
 def test_slow_requests_lose_their_connection_and_others_are_served() -> None:
     async def use(port: int) -> None:
-        assert await raw(port, b"POST /x HTTP/1.1\r\nHost: x\r\nContent-Le") == b""
+        assert await send_raw(port, b"POST /x HTTP/1.1\r\nHost: x\r\nContent-Le") == b""
         assert (await HttpClient("127.0.0.1", port).request("GET", "/", None, 5.0))[0] == 200
 
-    served(use, idle_s=0.2)
+    with_server(use, idle_s=0.2)
 
 
 def test_a_flood_of_connections_is_turned_away() -> None:
@@ -104,7 +106,7 @@
         for _, writer in held:
             writer.close()
 
-    served(use, most=4)
+    with_server(use, max_connections=4)
 
 
 def test_pooled_connections_that_break_are_replaced() -> None:
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -30,15 +30,15 @@
 from dunehold.transport.http import NoResponse, Refused
 from dunehold.types import JobPhase, Revision
 from tests import world as world_module
-from tests.test_awaits import with_pipelines
+from tests.test_dependencies import with_pipelines
 from tests.test_meetings import late_writes, leader_of
-from tests.test_orders import Ordered, replace_and_crashes
-from tests.test_rules import crashes, cuts, everything, outages, play
-from tests.test_zone_loss import cut_off
+from tests.test_orders import WorldWithOrders, replace_and_crashes
+from tests.test_rules import all_faults, crashes, cuts, outages, simulate
+from tests.test_zone_loss import isolate_zone
 from tests.world import ZONES, RuleBroken, World
 
 ROOT = Path(__file__).resolve().parent.parent
-RECORDED = ROOT / "tests" / "recorded-production.json"
+RECORDED_PATH = ROOT / "tests" / "recorded-production.json"
 
 
 class Production:
@@ -65,7 +65,9 @@
         known = {f.name for f in fields(self.settings.Settings)}
         values = {f.name: getattr(settings, f.name) for f in fields(Settings)}
         old = {name: value for name, value in values.items() if name in known}
-        old["value_bytes"], old["txn_ops"] = world_module.FIRST  # it knows of no later limits
+        old["value_bytes"], old["txn_ops"] = (
+            world_module.INITIAL_STATE_LIMITS
+        )  # it knows of no later limits
         return self._node(self.settings.Settings(**old), connect, **more)
 
     def connect(self, connect: Any) -> Any:
@@ -107,12 +109,12 @@
     yield Production(tree)
 
 
-def _leads(world: World) -> str | None:
+def _leader_version(world: World) -> str | None:
     box = leader_of(world)
     return None if box is None else "new" if box.upgraded else "old"
 
 
-async def roll(world: World) -> None:
+async def rolling_upgrade(world: World) -> None:
     """A few at a time come back new; some crash before their turn, and come back old."""
     await asyncio.sleep(18.0)
     boxes = world.rng.sample(world.nodes, len(world.nodes))
@@ -120,56 +122,58 @@
         if world.rng.random() < 0.5:
             box = world.rng.choice(world.nodes)
             await box.restart(world.rng.uniform(0.2, 3.0))  # as whatever it is by now
-            world.met["back old"] += not box.upgraded
+            world.counts["back old"] += not box.upgraded
         for _ in range(min(len(boxes), world.rng.choice([1, 1, 2]))):
             box = boxes.pop()
             box.upgraded = True
             world.spawn(box.restart(world.rng.uniform(0.2, 3.0)))
         await asyncio.sleep(world.rng.uniform(3.0, 8.0))
     await asyncio.sleep(4.0)
-    world.pipelines = 0.5
+    world.pipeline_share = 0.5
 
 
-async def who_leads(world: World) -> None:
+async def count_leader_versions(world: World) -> None:
     last = None
     while True:
-        led = _leads(world)
+        led = _leader_version(world)
         if led is not None and led != last:
-            world.met[f"{led} leads"] += 1
+            world.counts[f"{led} leads"] += 1
             last = led
         await asyncio.sleep(0.2)
 
 
-def upgrade(old: Production, *faults: Callable[[World], Awaitable[None]]) -> Any:
+def upgrade_scenario(
+    earlier_version: Production, *faults: Callable[[World], Awaitable[None]]
+) -> Any:
     async def day(world: World) -> None:
         for box in world.nodes:
             box.crash()
-        world.old = old
+        world.earlier_version = earlier_version
         for box in world.nodes:
             box.upgraded = False
             box.boot()
-        for fault in (roll, who_leads, *faults):
+        for fault in (rolling_upgrade, count_leader_versions, *faults):
             world.spawn(fault(world))
 
     return day
 
 
 @pytest.mark.parametrize("seed", range(400, 404))
-@pytest.mark.parametrize("fault", [crashes, cuts, outages, late_writes, everything])
+@pytest.mark.parametrize("fault", [crashes, cuts, outages, late_writes, all_faults])
 def test_both_versions_serve_side_by_side(
     production: Production | None, fault: Any, seed: int
 ) -> None:
     if production is None:
-        return _recorded_is_read()
-    world = play(seed, upgrade(production, fault), nodes=(3, 5)[seed % 2])
-    assert world.met["old leads"] and world.met["new leads"], world.met
-    assert world.checker.starts > 10 and any(job.get("awaits") for job in world.made)
+        return _check_recorded_data()
+    world = simulate(seed, upgrade_scenario(production, fault), nodes=(3, 5)[seed % 2])
+    assert world.counts["old leads"] and world.counts["new leads"], world.counts
+    assert world.checker.starts > 10 and any(job.get("awaits") for job in world.job_rows)
 
 
 # -- the state service's later limits -------------------------------------------------------
 
 
-async def lower(world: World) -> None:
+async def lower_state_limits(world: World) -> None:
     """Swarms of jobs before and after the limits fall, so that writers fill what they may."""
     for number in range(4):
         await asyncio.sleep(14.0)
@@ -178,79 +182,79 @@
             job |= {"shape": "batch", "units": 1 + each % 3, "vcpus": 0.5, "flavours": None}
             job |= {"real_s": 2.0, "hall": None, "spread": False}
             world.jobs.upload(job)
-            world.spawn(world.users.live(job, 1.0 if each % 9 == 0 else None))
+            world.spawn(world.users.run_job(job, 1.0 if each % 9 == 0 else None))
         if number == 1:
             while not all(box.upgraded and box.node is not None for box in world.nodes):
                 await asyncio.sleep(0.5)
-            world.state.lower()
+            world.state.lower_limits()
 
 
-async def orders(world: World) -> None:
+async def orders_and_zone_loss(world: World) -> None:
     """Operators' orders, and a zone that is lost and comes back, under the later limits."""
-    world.state.lower()
+    world.state.lower_limits()
     world.spawn(replace_and_crashes(world))
     await asyncio.sleep(40.0)
-    await cut_off(world, ZONES[1], 30.0)
+    await isolate_zone(world, ZONES[1], 30.0)
 
 
 @pytest.fixture
-def smaller(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(world_module, "LATER", (2048, 4))
+def smaller_later_limits(monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch.setattr(world_module, "LATER_STATE_LIMITS", (2048, 4))
     monkeypatch.setattr(world_module, "LATER_WRITE_RPS", 25.0)
 
 
 @pytest.mark.parametrize("seed", range(410, 413))
-@pytest.mark.parametrize("fault", [crashes, late_writes, everything])
+@pytest.mark.parametrize("fault", [crashes, late_writes, all_faults])
 def test_every_writer_keeps_to_the_later_limits(
-    smaller: None, production: Production | None, fault: Any, seed: int
+    smaller_later_limits: None, production: Production | None, fault: Any, seed: int
 ) -> None:
     """Values of the earlier version, and lower limits in the midst of it."""
-    faults = [fault, lower]
-    day = upgrade(production, *faults) if production else with_pipelines(*faults)
-    world = play(seed, day, nodes=3)
-    assert world.checker.starts > 10 and not world.state.malformed
+    faults = [fault, lower_state_limits]
+    day = upgrade_scenario(production, *faults) if production else with_pipelines(*faults)
+    world = simulate(seed, day, nodes=3)
+    assert world.checker.starts > 10 and not world.state.bad_txn_errors
 
 
 def test_orders_and_zones_keep_to_the_later_limits(
-    smaller: None, monkeypatch: pytest.MonkeyPatch
+    smaller_later_limits: None, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr("tests.test_rules.World", Ordered)
-    world = play(414, orders, nodes=5)
+    monkeypatch.setattr("tests.test_rules.World", WorldWithOrders)
+    world = simulate(414, orders_and_zone_loss, nodes=5)
     keys = {key.split("/")[1] for key in world.state.store.rows}
-    assert {"orders", "upkeep"} & keys and not world.state.malformed
+    assert {"orders", "upkeep"} & keys and not world.state.bad_txn_errors
 
 
 def test_limits_that_a_writer_ignores_are_found(
-    smaller: None, monkeypatch: pytest.MonkeyPatch
+    smaller_later_limits: None, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     settings = World.settings
 
     def first(self: World, index: int) -> Settings:
-        size, ops = world_module.FIRST
+        size, ops = world_module.INITIAL_STATE_LIMITS
         return replace(settings(self, index), value_bytes=size, txn_ops=ops)
 
     monkeypatch.setattr(World, "settings", first)
     try:
-        found = play(410, with_pipelines(crashes, lower)).state.malformed
+        found = simulate(410, with_pipelines(crashes, lower_state_limits)).state.bad_txn_errors
     except RuleBroken:
         return
     assert found
 
 
-async def poisoned(world: World) -> None:
+async def reject_one_completion(world: World) -> None:
     """The state service finds one job's end malformed, whatever else is in the transaction."""
     handle = world.state.store.handle
 
     def choosy(method: str, target: str, body: bytes | None, *call: Any) -> Any:
         if target == "/txn" and b'job-000003","v":{"phase":"done' in (body or b""):
-            world.met["refused"] += 1
+            world.counts["refused"] += 1
             return reply(400, {"error": "too odd"})
         return handle(method, target, body, *call)
 
-    world.state.store = Choosy(world.state.store, choosy)  # type: ignore[assignment]
+    world.state.store = StoreWithHandler(world.state.store, choosy)  # type: ignore[assignment]
 
 
-class Choosy:
+class StoreWithHandler:
     def __init__(self, store: Any, handle: Any) -> None:
         self.store, self.handle = store, handle
 
@@ -259,10 +263,10 @@
 
 
 def test_a_record_that_is_refused_for_good_holds_up_no_other() -> None:
-    world = play(415, poisoned)
-    done = [uid for uid, phase in world.told.items() if phase == "done"]
-    assert world.met["refused"] and "job-000003" not in done
-    assert world.met["refused"] < 240 and len(done) > 10
+    world = simulate(415, reject_one_completion)
+    done = [uid for uid, phase in world.final_phases.items() if phase == "done"]
+    assert world.counts["refused"] and "job-000003" not in done
+    assert world.counts["refused"] < 240 and len(done) > 10
 
 
 def test_rates_fall_when_refusals_show_it_and_not_for_one_burst() -> None:
@@ -273,22 +277,22 @@
         for pause in (0.0, 20.0, 20.0, 20.0):
             await asyncio.sleep(pause)
             node.state.on_limited()
-        world.met["kept"] = node.state.write_limiter.rate == before and not node._rates_fell
+        world.counts["kept"] = node.state.write_limiter.rate == before and not node._rates_fell
         for _ in range(3):
             node.state.on_limited()
-        world.met["fell"] = node._rates_fell and node.state.write_limiter.rate < before
+        world.counts["fell"] = node._rates_fell and node.state.write_limiter.rate < before
 
     with pytest.MonkeyPatch.context() as patch:
         patch.setattr(world_module, "LATER_WRITE_RPS", 25.0)
-        met = play(416, day).met
+        met = simulate(416, day).counts
     assert met["kept"] and met["fell"]
 
 
 # -- recorded values --------------------------------------------------------------------
 
 
-def _recorded_is_read() -> None:
-    rows = orjson.loads(RECORDED.read_bytes())
+def _check_recorded_data() -> None:
+    rows = orjson.loads(RECORDED_PATH.read_bytes())
     view = View()
     entries = [Entry(key, value, Revision(stamp)) for key, value, stamp in rows]
     view.load(entries, Revision(max(stamp for *_, stamp in rows)))
@@ -303,22 +307,22 @@
 
 
 def test_recorded_values_of_the_version_in_production_are_read() -> None:
-    _recorded_is_read()
+    _check_recorded_data()
 
 
-def record(tree: Path) -> None:
+def record_production_data(tree: Path) -> None:
     """Write ``recorded-production.json``: what that version left behind after a day."""
 
     async def keep(world: World) -> None:
         await asyncio.sleep(95.0)
         rows = [
-            [key, orjson.loads(row.value), row.stamp]
+            [key, orjson.loads(row.value), row.version]
             for key, row in world.state.store.rows.items()
         ]
-        RECORDED.write_bytes(orjson.dumps(sorted(rows)))
+        RECORDED_PATH.write_bytes(orjson.dumps(sorted(rows)))
 
     async def day(world: World) -> None:
-        world.old = Production(tree)
+        world.earlier_version = Production(tree)
         for box in world.nodes:
             box.crash()
             box.upgraded = False
@@ -326,8 +330,8 @@
         world.spawn(keep(world))
         world.spawn(late_writes(world))
 
-    play(420, day)
+    simulate(420, day)
 
 
 if __name__ == "__main__":
-    record(Path(sys.argv[1]))
+    record_production_data(Path(sys.argv[1]))
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -52,13 +52,13 @@
 LOST, RETURNING = ZoneCondition.LOST, ZoneCondition.RECOVERING
 
 
-HERE = (KindCounts(10, 10), KindCounts(4, 4))
+ALL_REPORTING = (KindCounts(10, 10), KindCounts(4, 4))
 
 
-SILENT = (KindCounts(10, 0), KindCounts(4, 1))
+MOSTLY_SILENT = (KindCounts(10, 0), KindCounts(4, 1))
 
 
-def after(*seen: tuple[float, Evidence], health: ZoneHealth | None = None) -> ZoneHealth:
+def health_after(*seen: tuple[float, Evidence], health: ZoneHealth | None = None) -> ZoneHealth:
     health = health or ZoneHealth(confirm_s=2.0, trust_s=4.0)
     for at, one in seen:
         health.update(one, MonotonicTime(at))
@@ -66,10 +66,10 @@
 
 
 def test_a_zone_is_lost_once_every_kind_of_machine_there_is_silent_for_a_while() -> None:
-    seen = Evidence(SILENT, others_heard=True, controllers=2)
-    assert after((0.0, seen)).condition is DOUBTFUL
-    assert after((0.0, seen), (1.5, seen)).condition is DOUBTFUL
-    assert after((0.0, seen), (2.0, seen)).condition is LOST
+    seen = Evidence(MOSTLY_SILENT, others_heard=True, controllers=2)
+    assert health_after((0.0, seen)).condition is DOUBTFUL
+    assert health_after((0.0, seen), (1.5, seen)).condition is DOUBTFUL
+    assert health_after((0.0, seen), (2.0, seen)).condition is LOST
 
 
 @pytest.mark.parametrize(
@@ -78,7 +78,7 @@
         Evidence(
             (KindCounts(10, 0), KindCounts(4, 4)), True, 2
         ),  # one dead type, or a spot wave
-        Evidence(SILENT, False, 2),  # whoever hears nobody may be cut off itself
+        Evidence(MOSTLY_SILENT, False, 2),  # whoever hears nobody may be cut off itself
         Evidence((KindCounts(10, 0),), True, 2, reached=2),  # one kind, and controllers answer
         Evidence((KindCounts(10, 0),), True, 2),  # nobody was asked yet
         Evidence((), True, 2, reached=0),  # nothing was ever there
@@ -86,11 +86,11 @@
 )
 def test_what_does_not_show_that_a_zone_is_lost(seen: Evidence) -> None:
     steps = [(step * 0.5, seen) for step in range(100)]
-    assert after(*steps).condition in (WELL, DOUBTFUL)
+    assert health_after(*steps).condition in (WELL, DOUBTFUL)
 
 
 def test_a_zone_that_flaps_is_trusted_ever_more_slowly() -> None:
-    lost, back = Evidence(SILENT, True, 2), Evidence(HERE, True, 2)
+    lost, back = Evidence(MOSTLY_SILENT, True, 2), Evidence(ALL_REPORTING, True, 2)
     health, now, waited = ZoneHealth(2.0, 4.0), 0.0, []
     for _ in range(5):
         while health.condition is not LOST:
@@ -105,8 +105,8 @@
         health.update(back, MonotonicTime(now))
         assert health.condition is RETURNING, now - began
     assert waited == [4.0, 8.0, 16.0, 32.0, 64.0]
-    assert after((now + 200.0, back), health=health).condition is WELL
-    assert after((now + 900.0, back), health=health).flaps == 0
+    assert health_after((now + 200.0, back), health=health).condition is WELL
+    assert health_after((now + 900.0, back), health=health).flaps == 0
 
 
 EVIDENCE = st.builds(
@@ -271,7 +271,7 @@
     assert asked(bound, 9, {}, north) == {north: 0, south: 0}
 
 
-def watching(hosts: list[Host]) -> ZoneMonitor:
+def make_monitor(hosts: list[Host]) -> ZoneMonitor:
     """A leader's watch over two zones; its settings have reports every two seconds."""
     ledger: Any = SimpleNamespace(
         hosts={host.id: host for host in hosts},
@@ -287,7 +287,7 @@
     return ZoneMonitor(settings, ledger, {kind.name: kind}, None, 6.0, lambda _: None)  # type: ignore[arg-type]
 
 
-def machine(name: str, zone: str, spot: bool, heard_at: float) -> Host:
+def make_host(name: str, zone: str, spot: bool, heard_at: float) -> Host:
     host = Host(
         HostId(name), TypeName("small"), Zone(zone), spot, "", MonotonicTime(1.0), NO_RESOURCES
     )
@@ -295,7 +295,7 @@
     return host
 
 
-def lose(watch: ZoneMonitor, now: float = 100.0) -> None:
+def mark_zone_lost(watch: ZoneMonitor, now: float = 100.0) -> None:
     for step in (-6, *range(8)):
         for host in watch.ledger.hosts.values():
             if host.zone == ZONES[0]:
@@ -304,14 +304,14 @@
     assert watch.is_lost(Zone(ZONES[1]))
 
 
-def fleet_of(silent: int) -> list[Host]:
-    hosts = [machine(f"n{n}", ZONES[0], n % 2 == 0, 100.0) for n in range(8)]
-    return hosts + [machine(f"s{n}", ZONES[1], n % 2 == 0, 90.0) for n in range(silent)]
+def hosts_with_silent_zone(silent: int) -> list[Host]:
+    hosts = [make_host(f"n{n}", ZONES[0], n % 2 == 0, 100.0) for n in range(8)]
+    return hosts + [make_host(f"s{n}", ZONES[1], n % 2 == 0, 90.0) for n in range(silent)]
 
 
 def test_two_ordinary_machines_stay_to_hear_of_the_return() -> None:
-    watch = watching(fleet_of(8))
-    lose(watch)
+    watch = make_monitor(hosts_with_silent_zone(8))
+    mark_zone_lost(watch)
     assert watch.sentinels == {"s1", "s3"}
     watch.ledger.hosts["s1"].deleting = True  # the cloud does not have it any more
     watch.evaluate(MonotonicTime(108.0), MonotonicTime(0.0))
@@ -322,8 +322,8 @@
 
 
 def test_probes_are_sent_where_no_machine_is_left_and_ever_more_seldom() -> None:
-    watch = watching(fleet_of(8))
-    lose(watch)
+    watch = make_monitor(hosts_with_silent_zone(8))
+    mark_zone_lost(watch)
     for host in list(watch.ledger.hosts.values()):
         if host.zone == ZONES[1]:
             del watch.ledger.hosts[host.id]
@@ -333,8 +333,8 @@
 
 
 def test_a_zone_that_is_back_is_filled_in_steps_until_it_is_trusted() -> None:
-    watch = watching(fleet_of(80))
-    lose(watch)
+    watch = make_monitor(hosts_with_silent_zone(80))
+    mark_zone_lost(watch)
     back = [host for host in watch.ledger.hosts.values() if host.zone == ZONES[1]]
     now = MonotonicTime(120.0)
     for host in watch.ledger.hosts.values():
@@ -349,7 +349,7 @@
 
 
 def test_silent_machines_of_a_lost_zone_are_not_counted_on() -> None:
-    watch = watching(fleet_of(8))
-    lose(watch)
+    watch = make_monitor(hosts_with_silent_zone(8))
+    mark_zone_lost(watch)
     silent, heard = watch.ledger.hosts[HostId("s0")], watch.ledger.hosts[HostId("n0")]
     assert watch.presumed_lost(silent) and not watch.presumed_lost(heard)
--- a/tests/virtual.py
+++ b/tests/virtual_time.py
@@ -15,11 +15,11 @@
 from contextvars import Context, ContextVar
 from typing import Any
 
-OWNER: ContextVar[Any] = ContextVar("owner", default=None)
-NOBODY = Context()  # things that happen outside of all processes
+CURRENT_PROCESS: ContextVar[Any] = ContextVar("owner", default=None)
+NO_PROCESS_CONTEXT = Context()  # things that happen outside of all processes
 
 
-class _Selector(selectors.BaseSelector):
+class _VirtualClockSelector(selectors.BaseSelector):
     """Instead of waiting for a timeout, moves the clock on."""
 
     def __init__(self) -> None:
@@ -47,32 +47,32 @@
 
 class VirtualLoop(asyncio.SelectorEventLoop):
     def __init__(self) -> None:
-        self.clock = _Selector()
+        self.clock = _VirtualClockSelector()
         super().__init__(self.clock)
         self.slow_callback_duration = 1e9
-        self.standing: set[Any] = set()
-        self._waiting: dict[Any, list[asyncio.Handle]] = {}
+        self.stalled: set[Any] = set()
+        self._deferred: dict[Any, list[asyncio.Handle]] = {}
 
-    def stand_still(self, owner: Any, seconds: float) -> None:
+    def stall(self, process: Any, seconds: float) -> None:
         until = self.time() + seconds
-        self.standing.add(owner)
+        self.stalled.add(process)
         for timer in self._scheduled:
-            if timer._context.get(OWNER) is owner and timer._when < until:
+            if timer._context.get(CURRENT_PROCESS) is process and timer._when < until:
                 timer._when = until
         heapq.heapify(self._scheduled)
-        self.call_at(until, self._go_on, owner, context=NOBODY)
+        self.call_at(until, self._resume, process, context=NO_PROCESS_CONTEXT)
 
-    def _go_on(self, owner: Any) -> None:
-        self.standing.discard(owner)
-        self._ready.extend(self._waiting.pop(owner, ()))
+    def _resume(self, owner: Any) -> None:
+        self.stalled.discard(owner)
+        self._ready.extend(self._deferred.pop(owner, ()))
 
     def _run_once(self) -> None:
-        if self.standing:
+        if self.stalled:
             ready: deque[asyncio.Handle] = deque()
             for handle in self._ready:
-                owner = handle._context.get(OWNER)
-                if owner in self.standing:
-                    self._waiting.setdefault(owner, []).append(handle)
+                owner = handle._context.get(CURRENT_PROCESS)
+                if owner in self.stalled:
+                    self._deferred.setdefault(owner, []).append(handle)
                 else:
                     ready.append(handle)
             self._ready = ready
--- a/tests/world.py
+++ b/tests/world.py
@@ -17,13 +17,13 @@
 import orjson
 
 from dunehold.coordination.node import Node
-from dunehold.emulator.agents.outside import CloudAgent, StateAgent, WorkerAgent
-from dunehold.emulator.agents.passages import Passages
+from dunehold.emulator.agents.external_services import CloudAgent, StateAgent, WorkerAgent
+from dunehold.emulator.agents.network_gate import NetworkGate
 from dunehold.emulator.agents.users import Users
 from dunehold.emulator.check import Breach, Checker
 from dunehold.emulator.history import Event, History
-from dunehold.emulator.model.base import Rate
-from dunehold.emulator.model.cloud import Boots, Cloud, Flavour, Kind
+from dunehold.emulator.model.base import TokenBucket
+from dunehold.emulator.model.cloud import BootProfile, Cloud, HostKind, MachineType
 from dunehold.emulator.model.jobs import Jobs
 from dunehold.emulator.model.store import Limits, Store
 from dunehold.settings import (
@@ -36,21 +36,26 @@
 )
 from dunehold.transport.http import NoResponse, Refused, Request, Response
 from dunehold.types import Duration, NodeId, Resources, Team, Zone
-from tests.virtual import NOBODY, OWNER, VirtualLoop
+from tests.virtual_time import CURRENT_PROCESS, NO_PROCESS_CONTEXT, VirtualLoop
 
 ZONES = ("north", "south")
 LEASE_S, CANCEL_S, REPORT_S = 10.0, 30.0, 2.0
 CALM_S = 60.0
-IN_FAULTS: contextvars.ContextVar[bool] = contextvars.ContextVar("in faults", default=False)
-LATEST_S = 2.1  # a process that stood still gives no older answer than this
-FIRST = LATER = (4096, 12)  # bytes of a value, changes of a transaction; what will hold later
+IN_FAULT_INJECTION: contextvars.ContextVar[bool] = contextvars.ContextVar(
+    "in faults", default=False
+)
+MAX_STALENESS_S = 2.1  # a process that stood still gives no older answer than this
+INITIAL_STATE_LIMITS = LATER_STATE_LIMITS = (
+    4096,
+    12,
+)  # bytes of a value, changes of a transaction; what will hold later
 LATER_WRITE_RPS: float | None = None
-TYPES = {"small": (4.0, 16.0, 0.2, 5), "big": (16.0, 64.0, 0.9, 1)}
-Answer = tuple[int, bytes, float]  # with Retry-After
-Service = Callable[[str, str, bytes | None, str], Awaitable[Answer]]
+MACHINE_TYPES = {"small": (4.0, 16.0, 0.2, 5), "big": (16.0, 64.0, 0.9, 1)}
+ServiceResponse = tuple[int, bytes, float]  # with Retry-After
+Service = Callable[[str, str, bytes | None, str], Awaitable[ServiceResponse]]
 
 
-class OldVersion(Protocol):
+class EarlierVersion(Protocol):
     """An earlier version's node, to be had in the same world."""
 
     node: Any
@@ -72,38 +77,38 @@
     def __init__(self, rng: random.Random) -> None:
         self.rng = rng
         self.services: dict[str, Service] = {}
-        self.passages = Passages()
+        self.gate = NetworkGate()
 
-    async def for_a_while(
+    async def cut_for(
         self, a: str, b: str, mode: str, seconds: float, one_way: bool = False
     ) -> None:
-        await self.passages.for_a_while(a, b, mode, seconds, one_way)
+        await self.gate.cut_for(a, b, mode, seconds, one_way)
 
-    def place(self, name: str, zone: str) -> None:
-        self.passages.cuts.labels[name] = (zone,)
+    def set_zone(self, name: str, zone: str) -> None:
+        self.gate.partitions.groups[name] = (zone,)
 
-    async def pass_(self, a: str, b: str) -> None:
+    async def deliver(self, a: str, b: str) -> None:
         """Return when a message from a has reached b."""
         await asyncio.sleep(self.rng.uniform(0.0005, 0.004))
-        await self.passages.through(a, b)
+        await self.gate.wait_until_open(a, b)
 
     async def call(
         self, a: str, b: str, method: str, target: str, body: bytes | None
-    ) -> Answer:
-        await self.pass_(a, b)
+    ) -> ServiceResponse:
+        await self.deliver(a, b)
         service = self.services.get(b)
         if service is None:
             raise ConnectionRefusedError
         answer = await service(method, target, body, a)
-        await self.pass_(b, a)
+        await self.deliver(b, a)
         return answer
 
-    async def ask(
+    async def request_with_retry_after(
         self, a: str, b: str, method: str, target: str, body: bytes | None, timeout_s: float
-    ) -> Answer:
+    ) -> ServiceResponse:
         # What is on its way goes on, whatever becomes of the process that sent it.
         call = asyncio.get_running_loop().create_task(
-            self.call(a, b, method, target, body), context=NOBODY.copy()
+            self.call(a, b, method, target, body), context=NO_PROCESS_CONTEXT.copy()
         )
         call.add_done_callback(lambda task: task.cancelled() or task.exception())
         try:
@@ -122,7 +127,9 @@
         body: bytes | None,
         timeout_s: float,
     ) -> tuple[int, bytes]:
-        return (await self.ask(source, target, method, path, body, timeout_s))[:2]
+        return (
+            await self.request_with_retry_after(source, target, method, path, body, timeout_s)
+        )[:2]
 
 
 @dataclass
@@ -152,70 +159,72 @@
         self.store.begin_outage()
         await asyncio.sleep(seconds)
         self.store.end_outage(asyncio.get_running_loop().time())
-        self.poke()
+        self.wake_watches()
 
-    def lower(self) -> None:
+    def lower_limits(self) -> None:
         """The limits of later hold from now on, without notice."""
-        self.store.limits = Limits(None, LATER_WRITE_RPS, *LATER)
-        self.store._writes = Rate(LATER_WRITE_RPS)
+        self.store.limits = Limits(None, LATER_WRITE_RPS, *LATER_STATE_LIMITS)
+        self.store._write_limiter = TokenBucket(LATER_WRITE_RPS)
 
-    async def refuse(self, node: str, seconds: float) -> None:
+    async def refuse_node(self, node: str, seconds: float) -> None:
         """The node alone gets 503, in whichever life."""
         names = {node, *(f"{node}#{life}" for life in range(50))}
-        self.store.refused |= names
+        self.store.refused_sources |= names
         await asyncio.sleep(seconds)
-        self.store.refused -= names
+        self.store.refused_sources -= names
 
 
-class Machines(CloudAgent):
-    def remove(self, name: str, failed: bool = False) -> None:
+class CloudService(CloudAgent):
+    def remove_host(self, name: str, failed: bool = False) -> None:
         now = asyncio.get_running_loop().time()
         if failed:
-            self.cloud.fail(name, now)
+            self.cloud.fail_host(name, now)
         else:
-            self.cloud.delete([name], now)
-        self.after()
+            self.cloud.delete_hosts([name], now)
+        self.process_events()
 
-    async def take_back(self, name: str, notice_s: float) -> None:
-        with self.workers[name].touched() as worker:
-            worker.notice(asyncio.get_running_loop().time(), notice_s)
+    async def reclaim_host(self, name: str, notice_s: float) -> None:
+        with self.workers[name].modify() as worker:
+            worker.notify_reclaim(asyncio.get_running_loop().time(), notice_s)
         await asyncio.sleep(notice_s)
-        self.remove(name)
+        self.remove_host(name)
 
 
 # -- the world ---------------------------------------------------------------------------
 
 
-class NodeBox:
+class NodeProcess:
     """A controller process that can crash and come back, knowing nothing."""
 
     def __init__(self, world: World, index: int) -> None:
         self.world, self.index, self.name = world, index, f"n{index}"
-        self.life = 0
+        self.incarnation = 0
         self.upgraded = False  # where the world begins with an earlier version
         self.node: Node | None = None
         self.task: asyncio.Task[None] | None = None
         self.context = contextvars.Context()
-        self.context.run(OWNER.set, self)
-        world.network.place(self.name, ZONES[index % len(ZONES)])
+        self.context.run(CURRENT_PROCESS.set, self)
+        world.network.set_zone(self.name, ZONES[index % len(ZONES)])
 
     def boot(self) -> None:
-        self.life += 1
-        self.upgraded = self.upgraded or self.world.old is None  # once new, it stays so
-        source = f"{self.name}#{self.life}"
+        self.incarnation += 1
+        self.upgraded = (
+            self.upgraded or self.world.earlier_version is None
+        )  # once new, it stays so
+        source = f"{self.name}#{self.incarnation}"
         network = self.world.network
-        network.place(source, ZONES[self.index % len(ZONES)])
+        network.set_zone(source, ZONES[self.index % len(ZONES)])
 
         def connect(host: str, port: int, links: int) -> FakeClient:
             return FakeClient(network, source, host)
 
-        old = None if self.upgraded else self.world.old
+        old = None if self.upgraded else self.world.earlier_version
         made = Node if old is None else old.node
         self.node = made(
             self.world.settings(self.index),
             connect if old is None else old.connect(connect),
             wall=self.world.now,
-            incarnation=f"{self.name}-{self.life}",
+            incarnation=f"{self.name}-{self.incarnation}",
         )
         if self.world.tamper is not None:
             self.world.tamper(self.node)
@@ -225,7 +234,7 @@
 
     async def _handle(
         self, method: str, target: str, body: bytes | None, source: str
-    ) -> Answer:
+    ) -> ServiceResponse:
         node = self.node
         if node is None:
             raise ConnectionRefusedError
@@ -236,7 +245,7 @@
         response = await loop.create_task(serve(request), context=self.context)
         if self.node is not node:
             raise ConnectionResetError
-        self.world.given(request, response)
+        self.world.check_response(request, response)
         return response.status, response.body, float(response.retry_after or 0)
 
     def crash(self) -> None:
@@ -247,10 +256,10 @@
             self.task.cancel()
         self.node = self.task = None
 
-    def stand_still(self, seconds: float) -> None:
+    def stall(self, seconds: float) -> None:
         loop = asyncio.get_running_loop()
         assert isinstance(loop, VirtualLoop)
-        loop.stand_still(self, seconds)
+        loop.stall(self, seconds)
 
     async def restart(self, after: float) -> None:
         self.crash()
@@ -270,70 +279,82 @@
         self.network = Network(self.rng)
         self.limits = {"blue": 24.0, "red": 0.0, "guest": 0.0}
         self.broken_share = 0.0  # of the jobs, submitted with a mistake
-        self.guests = 0.0  # share of jobs that are a guest's: wide, of low rank
-        self.waited = 0.0  # seconds that something took
-        self.led = 0  # controllers that led meanwhile
-        self.kept = 1.0  # share of the machines, over some trouble
-        self.met: Counter[str] = Counter()  # how often what a day is about came about
-        self.broken: list[Breach | str] = []
-        self._spawned: set[asyncio.Task[Any]] = set()
-        self._faults: set[asyncio.Future[Any]] = set()  # what is going wrong
-        self.history = History(self.now, keep=False, listeners=[self._seen])
+        self.guest_share = 0.0  # share of jobs that are a guest's: wide, of low rank
+        self.measured = 0.0  # seconds that something took
+        self.leader_count = 0  # controllers that led meanwhile
+        self.machines_kept = 1.0  # share of the machines, over some trouble
+        self.counts: Counter[str] = Counter()  # how often what a day is about came about
+        self.breaches: list[Breach | str] = []
+        self._tasks_in_flight: set[asyncio.Task[Any]] = set()
+        self._fault_tasks: set[asyncio.Future[Any]] = set()  # what is going wrong
+        self.history = History(self.now, keep=False, listeners=[self._on_event])
         self.checker = Checker(
             {team: (most or None, None) for team, most in self.limits.items()},
             CANCEL_S,
-            {name: (row[0], 0.0, row[1]) for name, row in TYPES.items()},
-            self.broken,  # type: ignore[arg-type]
+            {name: (row[0], 0.0, row[1]) for name, row in MACHINE_TYPES.items()},
+            self.breaches,  # type: ignore[arg-type]
+        )
+        self.failed_tasks = 0  # tasks that failed
+        self.max_staleness_s = (
+            MAX_STALENESS_S  # after its user knew better, no node gives an older answer
+        )
+        self.pipeline_share = (
+            0.0  # share of arrivals that are several jobs which wait for others
+        )
+        self.earlier_version: EarlierVersion | None = (
+            None  # that nodes run until their turn comes
         )
-        self.errors = 0  # tasks that failed
-        self.given_s = LATEST_S  # after its user knew better, no node gives an older answer
-        self.pipelines = 0.0  # share of arrivals that are several jobs which wait for others
-        self.old: OldVersion | None = None  # that nodes run until their turn comes
-        self.state = StateService(Store(Limits(None, None, *FIRST)), rng=self.rng)
-        self.network.services["state"] = self._served(self.state.handle)
-        self.nodes = [NodeBox(self, index) for index in range(nodes)]
+        self.state = StateService(
+            Store(Limits(None, None, *INITIAL_STATE_LIMITS)), rng=self.rng
+        )
+        self.network.services["state"] = self._as_service(self.state.handle)
+        self.nodes = [NodeProcess(self, index) for index in range(nodes)]
         self.jobs = Jobs(self.rng)
         self.cloud = self._cloud()
-        self.network.services["cloud"] = self._served(self.cloud.handle)
+        self.network.services["cloud"] = self._as_service(self.cloud.handle)
         self.users = Users(self, self.history, self.rng)
 
-    def _cloud(self) -> Machines:
+    def _cloud(self) -> CloudService:
         flavours = {
-            name: Flavour(name, cpus, memory, price, price / 3, 8.0, ZONES, 0.0, 20.0, 0.5)
-            for name, (cpus, memory, price, _) in TYPES.items()
+            name: MachineType(name, cpus, memory, price, price / 3, 8.0, ZONES, 0.0, 20.0, 0.5)
+            for name, (cpus, memory, price, _) in MACHINE_TYPES.items()
         }
         capacity = {
-            Kind(name, zone, spot): row[3]
-            for name, row in TYPES.items()
+            HostKind(name, zone, spot): row[3]
+            for name, row in MACHINE_TYPES.items()
             for zone in ZONES
             for spot in (True, False)
         }
         cloud = Cloud(flavours, capacity, self.rng, lambda number: f"m-{number:06d}:9000")
-        cloud.boots = Boots(dead=0.03, late=0.1, late_times=2.5, at_once=0.1)
+        cloud.boot_profile = BootProfile(
+            never_share=0.03, late_share=0.1, late_factor=2.5, immediate_share=0.1
+        )
         names = [node.name for node in self.nodes]
-        machines = Machines(
+        machines = CloudService(
             cloud, self.jobs, names, self.network, self.history, self.rng, REPORT_S, LEASE_S
         )
-        machines.up, machines.gone = self._up, self._gone
+        machines.on_host_up, machines.on_host_gone = self._on_host_up, self._on_host_gone
         return machines
 
-    def _up(self, agent: WorkerAgent) -> None:
+    def _on_host_up(self, agent: WorkerAgent) -> None:
         machine = agent.worker.machine
-        self.network.place(machine.name, machine.hall)
-        self.network.services[machine.name] = self._served(agent.handle)
+        self.network.set_zone(machine.name, machine.zone)
+        self.network.services[machine.name] = self._as_service(agent.handle)
 
-    def _gone(self, name: str) -> None:
+    def _on_host_gone(self, name: str) -> None:
         self.network.services.pop(name, None)
 
     @staticmethod
-    def _served(handle: Any) -> Service:
-        async def serve(method: str, target: str, body: bytes | None, source: str) -> Answer:
+    def _as_service(handle: Any) -> Service:
+        async def serve(
+            method: str, target: str, body: bytes | None, source: str
+        ) -> ServiceResponse:
             status, data = await handle(method, target, body, source)
             return status, data, 0.0
 
         return serve
 
-    def given(self, request: Request, response: Response) -> None:
+    def check_response(self, request: Request, response: Response) -> None:
         """A node gives a user an answer: what did its user know by then?
 
         What is on its way may be overtaken; what is given is compared by this moment, and not
@@ -341,15 +362,21 @@
         """
         uid = request.path.split("/")[3] if request.path.startswith("/v1/jobs/") else ""
         job = self.checker.jobs.get(uid)
-        if job is None or job.final is None or self.now() <= job.final_at + self.given_s:
+        if (
+            job is None
+            or job.final_phase is None
+            or self.now() <= job.final_at + self.max_staleness_s
+        ):
             return
         row = orjson.loads(response.body or b"{}")
         phase = row.get("phase") if response.status == 200 else "404"
-        if response.status in (200, 404) and phase != job.final:
-            self.broken.append(f"went_back: {uid}, known to be {job.final}, is called {phase}")
+        if response.status in (200, 404) and phase != job.final_phase:
+            self.breaches.append(
+                f"went_back: {uid}, known to be {job.final_phase}, is called {phase}"
+            )
 
-    def _seen(self, event: Event) -> None:
-        self.errors += event.kind == "off" and event.data["why"] == "error"
+    def _on_event(self, event: Event) -> None:
+        self.failed_tasks += event.kind == "off" and event.data["why"] == "error"
         self.checker.feed(event)
 
     @staticmethod
@@ -357,29 +384,31 @@
         return asyncio.get_running_loop().time()
 
     @property
-    def killed(self) -> int:
+    def killed_tasks(self) -> int:
         """Tasks on machines whose lease ran out."""
-        return self.cloud.killed
+        return self.cloud.killed_tasks
 
     @property
-    def lost(self) -> int:
+    def lost_tasks(self) -> int:
         """Tasks on machines that went away."""
-        return self.cloud.lost
+        return self.cloud.lost_tasks
 
     @property
-    def told(self) -> dict[str, str]:
-        return self.users.final
+    def final_phases(self) -> dict[str, str]:
+        return self.users.final_phases
 
     @property
-    def made(self) -> list[dict[str, Any]]:
+    def job_rows(self) -> list[dict[str, Any]]:
         return list(self.jobs.rows.values())
 
     def spawn(self, work: Awaitable[Any]) -> None:
         task = asyncio.ensure_future(work)
-        if IN_FAULTS.get() and not getattr(work, "__qualname__", "").startswith("Users."):
-            self._faults.add(task)
-        self._spawned.add(task)
-        task.add_done_callback(self._spawned.discard)
+        if IN_FAULT_INJECTION.get() and not getattr(work, "__qualname__", "").startswith(
+            "Users."
+        ):
+            self._fault_tasks.add(task)
+        self._tasks_in_flight.add(task)
+        task.add_done_callback(self._tasks_in_flight.discard)
 
     def settings(self, index: int) -> Settings:
         peers = [i for i in range(len(self.nodes)) if i != index]
@@ -411,9 +440,9 @@
             cancel_s=Duration(CANCEL_S),
             state_rps=200.0,
             state_write_rps=60.0,
-            value_bytes=min(FIRST[0], LATER[0]),
-            txn_ops=min(FIRST[1], LATER[1]),
-            write_burst=float(FIRST[1]),
+            value_bytes=min(INITIAL_STATE_LIMITS[0], LATER_STATE_LIMITS[0]),
+            txn_ops=min(INITIAL_STATE_LIMITS[1], LATER_STATE_LIMITS[1]),
+            write_burst=float(INITIAL_STATE_LIMITS[1]),
             later_write_rps=LATER_WRITE_RPS,
             cloud_rps=5.0,
             list_lag_s=Duration(2.0),
@@ -428,7 +457,7 @@
     def make_job(self, number: int) -> dict[str, Any]:
         rng = self.rng
         quick = rng.random() < 0.3
-        if rng.random() < self.guests:
+        if rng.random() < self.guest_share:
             return self._guest_job(number)
         spread = rng.random() < 0.15
         return {
@@ -470,10 +499,14 @@
             "real_s": real_s,
         }  # fmt: skip
 
-    async def ask(self, method: str, path: str, body: bytes | None, timeout_s: float) -> Answer:
-        """Any node will do (``Door``)."""
+    async def request_with_retry_after(
+        self, method: str, path: str, body: bytes | None, timeout_s: float
+    ) -> ServiceResponse:
+        """Any node will do (``ServiceClient``)."""
         node = self.rng.choice(self.nodes)
-        return await self.network.ask("users", node.name, method, path, body, timeout_s)
+        return await self.network.request_with_retry_after(
+            "users", node.name, method, path, body, timeout_s
+        )
 
     def _cancel_after(self, job: dict[str, Any], drawn: float | None) -> float | None:
         if job.get("broken"):
@@ -482,38 +515,38 @@
 
     # -- running -------------------------------------------------------------------------
 
-    async def watch_rules(self) -> None:
+    async def check_rules(self) -> None:
         while True:
             await asyncio.sleep(0.25)
-            self.checker.step(self.now())
-            if self.broken:
+            self.checker.advance(self.now())
+            if self.breaches:
                 return
 
     async def arrivals(self, until: float) -> None:
         number = 0
         while self.now() < until:
             number += 1
-            if self.pipelines and self.rng.random() < self.pipelines:
-                self.spawn(self._pipeline(number * 1000))
+            if self.pipeline_share and self.rng.random() < self.pipeline_share:
+                self.spawn(self._submit_pipeline(number * 1000))
                 await asyncio.sleep(self.rng.expovariate(0.4))
                 continue
             job = self.make_job(number)
             self.jobs.upload(job)
             drawn = self.rng.uniform(1.0, 30.0) if self.rng.random() < 0.2 else None
-            self.spawn(self.users.live(job, self._cancel_after(job, drawn)))
+            self.spawn(self.users.run_job(job, self._cancel_after(job, drawn)))
             await asyncio.sleep(self.rng.expovariate(0.4))
 
-    async def _until_calm(self, faults: Callable[[World], Awaitable[None]]) -> None:
+    async def _inject_faults(self, faults: Callable[[World], Awaitable[None]]) -> None:
         """What a fault has begun is over some time after it and all that it has spawned; some
         never are. Only then does it count as a failure that somebody waits beside room."""
-        IN_FAULTS.set(True)
+        IN_FAULT_INJECTION.set(True)
         await faults(self)
-        while going := [task for task in self._faults if not task.done()]:
+        while going := [task for task in self._fault_tasks if not task.done()]:
             await asyncio.wait(going)
         await asyncio.sleep(CALM_S)
         self.checker.calm_since = self.now()
 
-    def graph(self) -> list[list[int]]:
+    def random_dependencies(self) -> list[list[int]]:
         """What each job of a pipeline needs: a chain, a diamond, a fan or anything."""
         rng = self.rng
         return rng.choice(
@@ -526,13 +559,13 @@
             ]
         )
 
-    async def _pipeline(self, number: int) -> None:
+    async def _submit_pipeline(self, number: int) -> None:
         """Each job as soon as those that it needs are accepted, or some time after."""
         rng, names = self.rng, []
         earlier = [
             uid for uid in self.users.accepted if self.jobs.rows[uid]["shape"] == "batch"
         ]
-        for count, needs in enumerate(self.graph()):
+        for count, needs in enumerate(self.random_dependencies()):
             job = self.make_job(number + count)
             job |= {"shape": "batch", "real_s": rng.uniform(1.0, 8.0), "expect_s": 4.0}
             needed = [names[need] for need in needs]
@@ -542,28 +575,28 @@
             names.append(job["uid"])
             late = rng.random() < 0.15
             while not all(
-                uid in self.users.accepted and (not late or uid in self.users.final)
+                uid in self.users.accepted and (not late or uid in self.users.final_phases)
                 for uid in needed
             ):
                 await asyncio.sleep(0.3)
             self.jobs.upload(job)
             drawn = rng.uniform(0.5, 20.0) if rng.random() < 0.1 else None
-            self.spawn(self.users.live(job, drawn))
+            self.spawn(self.users.run_job(job, drawn))
 
-    async def play(
+    async def run(
         self, faults: Callable[[World], Awaitable[None]], busy_s: float, end_s: float
     ) -> None:
         for node in self.nodes:
             node.boot()
-        self.spawn(self.users.stranger(7.0))
+        self.spawn(self.users.poll_unknown_job(7.0))
         self.spawn(self.cloud.run())
         self.spawn(self.state.run())
         self.spawn(self.arrivals(busy_s))
-        self.spawn(self._until_calm(faults))
-        checking = asyncio.ensure_future(self.watch_rules())
+        self.spawn(self._inject_faults(faults))
+        checking = asyncio.ensure_future(self.check_rules())
         await asyncio.wait([checking], timeout=end_s)
         checking.cancel()
         for node in self.nodes:
             node.crash()
-        if self.broken:
-            raise RuleBroken("; ".join(map(str, self.broken[:3])))
+        if self.breaches:
+            raise RuleBroken("; ".join(map(str, self.breaches[:3])))
