--- a/dunehold/coordination/planning/__init__.py
+++ b/dunehold/coordination/planning/__init__.py
@@ -1,1 +1,1 @@
-"""What is known of jobs and machines, as the scheduler and the autoscaler read it."""
+"""Estimates and the inputs of the scheduler and the autoscaler, built from jobs and hosts."""
--- a/dunehold/coordination/planning/guarantees.py
+++ b/dunehold/coordination/planning/guarantees.py
@@ -1,4 +1,4 @@
-"""Which jobs lie within their team's guarantee, and which runs beyond it."""
+"""Which jobs lie within the guarantee of their team, and which runs exceed it."""
 
 from __future__ import annotations
 
@@ -21,23 +21,26 @@
 ) -> dict[Team, Resources]:
     """What each team is entitled to now: its guarantee, or its share of too little room.
 
-    ``room`` is the CPUs that there are while a zone is lost, None while none is. Where the
-    guarantees that are asked for exceed it, it is divided by guarantee (weighted max-min): no
-    team takes what another is as much entitled to.
+    ``available_cpus`` are the CPUs outside lost zones, or None while no zone is lost. If the
+    teams want more of their guarantees than that, the CPUs are divided by weighted max-min
+    fairness with the guarantees as weights, so that no team takes what another team is equally
+    entitled to.
     """
-    found = {team.name: team.guarantee for team in settings.teams.values()}
+    entitlements = {team.name: team.guarantee for team in settings.teams.values()}
     if available_cpus is None:
-        return found
-    wants = {team: ledger.team_usage(team).cpus for team, promise in found.items()}
+        return entitlements
+    wants = {team: ledger.team_usage(team).cpus for team, entitlement in entitlements.items()}
     for progress in jobs.values():
         spec = progress.spec
         if spec.team in wants:
             wants[spec.team] += len(progress.waiting) * spec.need.cpus
-    wants = {team: min(want, found[team].cpus) for team, want in wants.items()}
+    wants = {team: min(want, entitlements[team].cpus) for team, want in wants.items()}
     if sum(wants.values()) <= available_cpus:
-        return found
-    shares = fair_shares(available_cpus, wants, {team: g.cpus for team, g in found.items()})
-    return {team: found[team]._replace(cpus=shares[team]) for team in found}
+        return entitlements
+    shares = fair_shares(
+        available_cpus, wants, {team: promise.cpus for team, promise in entitlements.items()}
+    )
+    return {team: entitlements[team]._replace(cpus=shares[team]) for team in entitlements}
 
 
 def jobs_within_guarantee(
@@ -47,11 +50,14 @@
     jobs: dict[JobId, JobProgress],
     available_cpus: float | None = None,
 ) -> set[JobId]:
-    """Jobs that fit their team's guarantee together with its earlier unfinished jobs."""
-    found: set[JobId] = set()
+    """Jobs that fit their team's guarantee together with its earlier unfinished jobs.
+
+    ``available_cpus`` is as for ``team_entitlements``.
+    """
+    within: set[JobId] = set()
     if not any(t.guarantee.cpus or t.guarantee.gpus for t in settings.teams.values()):
-        return found
-    promised = team_entitlements(settings, ledger, jobs, available_cpus)
+        return within
+    entitlements = team_entitlements(settings, ledger, jobs, available_cpus)
     sums: dict[Team, Resources] = {}
     active = ledger.view.active
     records = [active[job] for job in jobs if job in active]
@@ -62,31 +68,33 @@
         if team is None or (team.guarantee.cpus <= 0 and team.guarantee.gpus <= 0):
             continue
         if health.is_broken(record.id):
-            continue  # it takes no room of the guarantee from jobs that can run
-        left = len(progress.waiting) + len(ledger.task_zones_by_job.get(record.id, ()))
+            continue  # it must not use up the guarantee that jobs which can run need
+        unfinished = len(progress.waiting) + len(ledger.task_zones_by_job.get(record.id, ()))
         need = spec.need
         total = sums.get(spec.team, NO_RESOURCES).plus(
-            Resources(need.cpus * left, need.gpus * left, 0.0)
+            Resources(need.cpus * unfinished, need.gpus * unfinished, 0.0)
         )
         sums[spec.team] = total
-        if promised[spec.team].holds(total):
-            found.add(spec.id)
-    return found
+        if entitlements[spec.team].holds(total):
+            within.add(spec.id)
+    return within
 
 
 def borrowed_runs(
     settings: Settings, ledger: Ledger, guaranteed_jobs: Container[JobId] = ()
 ) -> set[AttemptId]:
-    """Runs beyond their team's guarantee, the latest started first to go.
+    """Runs beyond their team's guarantee; the latest started runs count as beyond it first.
 
-    Jobs within the guarantee (``guaranteed``) are counted first, whenever their tasks began.
-    By the time alone, the latest of them were stopped for another team, and as such jobs go
-    first, they took the very room that was cleared, to be stopped once more.
+    Runs of jobs within the guarantee (``guaranteed_jobs``) are counted first, whenever they
+    started. If the start time alone decided, the latest of them would be stopped for another
+    team. As jobs within a guarantee go first, they would then take the room that was cleared,
+    and would be stopped again.
 
-    Beyond the whole of it, whatever room there is: what lies within a guarantee is never
-    stopped for another team of the same rank. Shares decide who starts, not who is stopped.
+    The full guarantee counts here, also while a lost zone leaves too little room for all
+    guarantees: a run within a guarantee is never stopped for another team of the same rank.
+    Entitlements decide which jobs start, not which runs are stopped.
     """
-    over = {
+    guarantees = {
         team.name: team.guarantee
         for team in settings.teams.values()
         if not team.guarantee.holds(ledger.team_usage(team.name)._replace(memory_gb=0.0))
@@ -94,16 +102,16 @@
     by_team: dict[Team, list[Run]] = {}
     for runs in ledger.runs_by_task.values():
         for run in runs:
-            if run.team in over:
+            if run.team in guarantees:
                 by_team.setdefault(run.team, []).append(run)
-    beyond: set[AttemptId] = set()
-    for name, found in by_team.items():
-        guarantee = over[name]
+    borrowed: set[AttemptId] = set()
+    for name, team_runs in by_team.items():
+        guarantee = guarantees[name]
         total = NO_RESOURCES
         for run in sorted(
-            found, key=lambda r: (r.id.task.job not in guaranteed_jobs, r.planned_at)
+            team_runs, key=lambda r: (r.id.task.job not in guaranteed_jobs, r.planned_at)
         ):
             total = total.plus(run.need)
             if total.cpus > guarantee.cpus + EPSILON or (total.gpus > guarantee.gpus + EPSILON):
-                beyond.add(run.id)
-    return beyond
+                borrowed.add(run.id)
+    return borrowed
--- a/dunehold/coordination/planning/health.py
+++ b/dunehold/coordination/planning/health.py
@@ -1,10 +1,10 @@
-"""Who is at fault when a task fails: its job, or its machine.
+"""Tells broken jobs from faulty hosts when tasks fail.
 
-A job that was submitted with a mistake fails on every machine; a faulty machine fails every
-task. So a job is judged by the machines that it failed on, and a machine by the jobs that
-failed on it, and each judgement takes back what the other one had drawn from the same
-failures: no number of broken jobs may cost the fleet its healthy machines, and a faulty
-machine is found while such jobs are about.
+A job that was submitted with a mistake fails on every host, and a faulty host fails every task.
+A job is therefore judged by the hosts on which it failed, and a host by the jobs that failed on
+it. Each judgement withdraws the conclusions that the other one drew from the same failures: any
+number of broken jobs must not cost the fleet its healthy hosts, and a faulty host must be found
+while such jobs are active.
 """
 
 from __future__ import annotations
@@ -13,39 +13,49 @@
 
 from dunehold.types import HostId, JobId, MonotonicTime
 
-MIN_HOSTS_TO_JUDGE_JOB = 3  # machines that a job without any result must have failed on
-BACKOFF_S, MAX_BACKOFF_S = 2.0, 60.0  # before a broken job is tried once more
-TRIES_BEFORE_BACKOFF = 3  # without any result, before a job that is not judged waits as well
-MAX_FAILED_HOSTS_PER_JOB = 12  # of a job's failures: a further try goes to another machine
+MIN_HOSTS_TO_JUDGE_JOB = 3  # a job without any success is broken once it failed on so many
+# Doubled with each failed try of a job, the first one included. Failures of a job that is not
+# judged broken count as one try if they follow within this time.
+BACKOFF_S = 2.0
+MAX_BACKOFF_S = 60.0
+TRIES_BEFORE_BACKOFF = 3  # failed tries after which a job not judged broken is delayed as well
+MAX_FAILED_HOSTS_PER_JOB = 12  # hosts remembered for a job; further tries avoid these
 
 
 @dataclass(slots=True)
 class _JobHealth:
-    has_succeeded: bool = False  # a task of it has completed: it can run
+    has_succeeded: bool = False  # a task of the job has completed, so the job can run
     broken: bool = False
-    failed_on: dict[HostId, int] = field(default_factory=dict)  # failures, oldest first
-    tries: int = 0  # since it was found to be broken
+    # Number of failures on each host; the host of the latest failure comes last.
+    failed_on: dict[HostId, int] = field(default_factory=dict)
+    tries: int = 0  # failed tries that count for the backoff
     backoff_until: MonotonicTime = MonotonicTime(-1e9)
-    unjudged_failures: int = 0  # tries that failed while it was not judged
-    unjudged_failure_at: MonotonicTime = MonotonicTime(-1e9)
+    unjudged_failures: int = 0  # failed tries while the job is not judged broken
+    unjudged_failure_at: MonotonicTime = MonotonicTime(-1e9)  # the last of them
 
 
 @dataclass(slots=True)
 class Health:
-    """What failures say, counted between a machine's last result and its next."""
+    """Judges jobs and hosts by the failures of tasks.
 
-    faulty_after_failures: int
+    The failures on a host count until a task succeeds on it.
+    """
+
+    faulty_after_failures: int  # failures that count against a host before it is faulty
     jobs: dict[JobId, _JobHealth] = field(default_factory=dict)
-    failed_jobs_by_host: dict[HostId, set[JobId]] = field(
-        default_factory=dict
-    )  # jobs that failed there
+    # Jobs that failed on each host since its last success.
+    failed_jobs_by_host: dict[HostId, set[JobId]] = field(default_factory=dict)
 
     def record_success(self, job: JobId, host: HostId) -> set[HostId]:
-        """A task has completed there. Machines whose judgement that may change."""
+        """Records that a task has completed on the host.
+
+        Returns the other hosts whose judgement may have changed.
+        """
         self.failed_jobs_by_host.pop(host, None)
         entry = self.jobs.get(job)
         if entry is None:
-            # Kept for jobs only that have failed, or later failures would count as first.
+            # Remembered, so that later failures are not taken for those of a job that has never
+            # succeeded.
             self.jobs[job] = _JobHealth(has_succeeded=True)
             return set()
         entry.failed_on.pop(host, None)
@@ -57,7 +67,10 @@
         return set(entry.failed_on)
 
     def record_failure(self, job: JobId, host: HostId, now: MonotonicTime) -> set[HostId]:
-        """A task has failed there. Machines whose judgement that may change."""
+        """Records that a task has failed on the host.
+
+        Returns the hosts whose judgement may have changed.
+        """
         entry = self.jobs.setdefault(job, _JobHealth())
         count = entry.failed_on.pop(host, 0)
         entry.failed_on[host] = count + 1
@@ -77,11 +90,12 @@
         return set(entry.failed_on)
 
     def _slow_down_unjudged(self, entry: _JobHealth, now: MonotonicTime) -> None:
-        """Slow down a job that fails again and again on too few machines to judge it.
+        """Delays a job that fails repeatedly on too few hosts to be judged.
 
-        Guards against one that may use a machine or two only: it was tried again at once,
-        without end. What fails within a short time is one try, as a faulty machine fails all
-        tasks that it is given; and a job that has ever completed a task is not slowed down.
+        Guards against a job that may use only one or two hosts and would be tried again at
+        once without end. Failures within BACKOFF_S of each other count as one try, because a
+        faulty host fails all tasks that it is given. A job that has completed any task is not
+        delayed.
         """
         if entry.has_succeeded or now < entry.unjudged_failure_at + BACKOFF_S:
             return
@@ -91,7 +105,7 @@
             self._back_off(entry, now)
 
     def _unexplained(self, entry: _JobHealth, job: JobId) -> list[HostId]:
-        """Machines it failed on that other jobs have not shown to be faulty."""
+        """Hosts on which the job failed and which other jobs have not shown to be faulty."""
         return [
             host
             for host in entry.failed_on
@@ -99,29 +113,35 @@
         ]
 
     def _back_off(self, entry: _JobHealth, now: MonotonicTime) -> None:
+        """Delays the next try of a job, longer with each failed try."""
         entry.tries += 1
-        hold = min(MAX_BACKOFF_S, BACKOFF_S * 2 ** min(entry.tries, 10))
-        # Tasks of it that were under way all fail at once: that is one try.
+        delay_s = min(MAX_BACKOFF_S, BACKOFF_S * 2 ** min(entry.tries, 10))
+        # Tasks that were running already fail during the backoff: they belong to the same try.
         if now >= entry.backoff_until or entry.tries == 1:
-            entry.backoff_until = MonotonicTime(now + hold)
+            entry.backoff_until = MonotonicTime(now + delay_s)
         else:
             entry.tries -= 1
 
     def is_faulty(self, host: HostId) -> bool:
-        """Different jobs failed there one after the other, or one that is known to run."""
+        """Whether enough failures count against the host.
+
+        A job that failed there counts once, or with all of its failures there if any task of
+        it has ever succeeded. Broken jobs do not count.
+        """
         return self._evidence(host, None) >= self.faulty_after_failures
 
-    def _evidence(self, host: HostId, besides: JobId | None) -> int:
+    def _evidence(self, host: HostId, excluded_job: JobId | None) -> int:
+        """The number of failures that count against the host."""
         evidence = 0
         for job in self.failed_jobs_by_host.get(host, ()):
             entry = self.jobs.get(job)
-            if entry is None or entry.broken or job == besides:
+            if entry is None or entry.broken or job == excluded_job:
                 continue
             evidence += entry.failed_on.get(host, 0) if entry.has_succeeded else 1
         return evidence
 
     def is_suspect(self, host: HostId) -> bool:
-        """Something failed there that is not known to fail everywhere."""
+        """Whether a job that is not known to be broken failed on the host."""
         return self._evidence(host, None) > 0
 
     def _clear_failure(self, host: HostId, job: JobId) -> None:
@@ -132,11 +152,15 @@
     # -- jobs ------------------------------------------------------------------------
 
     def is_broken(self, job: JobId) -> bool:
+        """Whether the job is judged to fail on every host."""
         entry = self.jobs.get(job)
         return entry is not None and entry.broken
 
     def restore_broken_jobs(self, jobs: set[JobId], now: MonotonicTime) -> None:
-        """Found by a leader before: its judgement must not cost the fleet once more."""
+        """Takes over jobs that an earlier leader found broken.
+
+        They must not fail on several hosts again before they are judged.
+        """
         for job in sorted(jobs):
             entry = self.jobs.setdefault(job, _JobHealth())
             entry.broken = True
@@ -146,21 +170,27 @@
         return {job for job, entry in self.jobs.items() if entry.broken}
 
     def in_backoff(self, job: JobId, now: MonotonicTime) -> bool:
+        """Whether no task of the job should be started yet."""
         entry = self.jobs.get(job)
         return entry is not None and now < entry.backoff_until
 
     def hosts_to_avoid(self, job: JobId) -> frozenset[HostId]:
-        """Machines on which a further try would say nothing new."""
+        """Hosts on which the job failed.
+
+        Another failure there would not tell whether the job or the host is at fault.
+        """
         entry = self.jobs.get(job)
         return frozenset(entry.failed_on) if entry is not None else frozenset()
 
     def forget_job(self, job: JobId) -> None:
+        """Drops a job that is over, and its failures."""
         entry = self.jobs.pop(job, None)
         if entry is not None:
             for host in entry.failed_on:
                 self._clear_failure(host, job)
 
     def forget_host(self, host: HostId) -> None:
+        """Drops the failures on a host that is gone."""
         for job in self.failed_jobs_by_host.pop(host, ()):
             entry = self.jobs.get(job)
             if entry is not None:
--- a/dunehold/coordination/planning/objectives.py
+++ b/dunehold/coordination/planning/objectives.py
@@ -1,4 +1,4 @@
-"""The users' aims as moments: by when a job should be complete, and which aim to give up."""
+"""Target times derived from the objectives, and the choice of objectives to give up."""
 
 from __future__ import annotations
 
@@ -9,8 +9,11 @@
 from dunehold.settings import Objective
 from dunehold.types import JobId
 
-DEFAULT_TARGET_S, DEFAULT_TARGET_RUNS = 60.0, 3.0  # for jobs that no aim speaks of
-POSTPONEMENT_FACTOR = 2.0
+# Completion target of jobs without an objective: the longer of a fixed time and a number of
+# estimated run times.
+DEFAULT_TARGET_S = 60.0
+DEFAULT_TARGET_RUNS = 3.0
+POSTPONEMENT_FACTOR = 2.0  # each target after the last objective is later by this factor
 
 
 def select_postponed_jobs(
@@ -19,55 +22,65 @@
     free_cpus: float,
     freed_cpus_per_s: float,
 ) -> tuple[float, list[JobId]]:
-    """CPUs for all that can start in time, and the jobs that are put off.
+    """Selects the jobs to postpone so that the others can start in time.
 
-    Rows hold the latest start, the job, its CPUs and its class.
+    Each row holds the seconds until the latest start of a job in time, the job, its CPUs and
+    its class. ``wanted_cpus`` are taken by jobs that go first. Where a job would start too
+    late, the largest job of its class so far is postponed.
+
+    Returns the CPUs of all jobs that start in time, ``wanted_cpus`` included, and the
+    postponed jobs.
     """
-    taken: dict[str, list[tuple[float, JobId]]] = {}
-    late: list[JobId] = []
-    for start, job, cpus, job_class in sorted(rows):
+    kept_by_class: dict[str, list[tuple[float, JobId]]] = {}
+    postponed: list[JobId] = []
+    for latest_start, job, cpus, job_class in sorted(rows):
         wanted_cpus += cpus
-        alike = taken.setdefault(job_class, [])
-        heapq.heappush(alike, (-cpus, job))
-        while alike and wanted_cpus > free_cpus + freed_cpus_per_s * start:
-            spared, other = heapq.heappop(alike)
-            wanted_cpus += spared
-            late.append(other)
-    return wanted_cpus, late
+        same_class = kept_by_class.setdefault(job_class, [])
+        heapq.heappush(same_class, (-cpus, job))
+        while same_class and wanted_cpus > free_cpus + freed_cpus_per_s * latest_start:
+            negative_cpus, largest = heapq.heappop(same_class)
+            wanted_cpus += negative_cpus
+            postponed.append(largest)
+    return wanted_cpus, postponed
 
 
 def next_completion_target_s(
     progress: JobProgress, waited: float, run_s: float, postponements: int
 ) -> float:
-    """The next aim that the job can still meet, and has not given up.
+    """The next completion target that the job can still meet, in seconds of its waiting time.
+
+    ``waited`` is its waiting time so far. The first ``postponements`` of the targets that it
+    could still meet are skipped.
 
-    A job that has missed its aims steps down to multiples of the last one: it lets those
-    pass that can still be in time, and rises again as that rung comes near, so nothing
-    waits for ever.
+    After its objectives, a job gets targets that grow by POSTPONEMENT_FACTOR. A job that has
+    missed its objectives thus lets jobs pass that can still be in time, and moves up the list
+    again as its next target comes near, so no job waits forever.
     """
     needed = waited + run_s
-    limits = progress.completion_targets_s or [
+    targets = progress.completion_targets_s or [
         max(DEFAULT_TARGET_S, DEFAULT_TARGET_RUNS * run_s)
     ]
-    for limit in limits:
-        if limit >= needed:
+    for target in targets:
+        if target >= needed:
             if postponements <= 0:
-                return limit
+                return target
             postponements -= 1
-    limit = limits[-1]
-    while limit < needed or postponements > 0:
-        if limit >= needed:
+    target = targets[-1]
+    while target < needed or postponements > 0:
+        if target >= needed:
             postponements -= 1
-        limit = limit * POSTPONEMENT_FACTOR + 1.0
-    return limit
+        target = target * POSTPONEMENT_FACTOR + 1.0  # one second more, as a target may be 0
+    return target
 
 
 def completion_target_s(
     objective: Objective, spec: JobSpec, waited_s: float = 0.0
 ) -> float | None:
-    """When the aim wants the job complete, from when it is wanted.
+    """Seconds after the job became eligible by which the objective wants it complete.
 
-    Deadlines count from its submission, ``waited_s`` earlier: it waited for others meanwhile.
+    Returns None if the objective sets no completion time for the job. Deadlines count from
+    the submission of the job, ``waited_s`` before it became eligible: during that time it
+    waited for its dependencies.
     """
     if objective.job_class != spec.job_class:
         return None
--- a/dunehold/coordination/planning/offers.py
+++ b/dunehold/coordination/planning/offers.py
@@ -1,4 +1,4 @@
-"""What the autoscaler weighs: kinds of machines, those there are, and the work that waits."""
+"""The autoscaler's inputs: kinds of machines, the hosts of the fleet, and waiting work."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Offer:
-    """A kind of machine that the cloud may have."""
+    """A kind of machine that the cloud may be able to rent out."""
 
     type: TypeName
     zone: Zone
@@ -21,23 +21,24 @@
 
 @dataclass(slots=True)
 class FleetHost:
+    """A rented host on which work can be planned."""
+
     id: HostId
     offer: Offer
     total: Resources
-    free: Resources  # now, or once booted
-    expected_releases: list[
-        tuple[float, Resources]
-    ]  # estimated end and room of what runs on it
-    idle_s: float | None
+    free: Resources  # now, or once the host has booted
+    # For each run on the host, the seconds until its estimated end and the room it frees.
+    expected_releases: list[tuple[float, Resources]]
+    idle_s: float | None  # None if the host is not idle
 
 
 @dataclass(slots=True)
 class Demand:
-    """Waiting tasks of one shape."""
+    """Waiting tasks that have the same needs."""
 
-    need: Resources
+    need: Resources  # of each task
     tasks: int
-    run_s: float
+    run_s: float  # estimated
     allowed: Callable[[Offer], bool]
 
 
@@ -48,24 +49,26 @@
     tasks_by_zone: Mapping[Zone, int],
     rentable_zones: Collection[Zone],
 ) -> list[Demand]:
-    """What so many waiting tasks of a job ask for, zone by zone where its bounds say so.
+    """The demand of ``tasks`` waiting tasks of a job, by zone if the job has zone constraints.
 
-    ``placed`` is where its tasks are or may be, ``usable`` the zones to rent in. Tasks that
-    only a lost zone may take ask for nothing: a machine elsewhere would stand idle for them.
+    ``tasks_by_zone`` counts the tasks that are or may be placed already, ``rentable_zones``
+    are the zones in which machines can be rented. Tasks that may run only in a lost zone
+    cause no demand, because a machine rented elsewhere would stay idle.
     """
     if spec.one_zone and tasks_by_zone:
         return [Demand(spec.need, tasks, run_s, _allowed_in_zones(spec, set(tasks_by_zone)))]
     if not spec.spread:
         return [Demand(spec.need, tasks, run_s, _allowed_in_zones(spec, rentable_zones))]
-    most = (spec.tasks + 1) // 2
-    room = {zone: max(0, most - tasks_by_zone.get(zone, 0)) for zone in rentable_zones}
-    found = []
+    zone_limit = (spec.tasks + 1) // 2
+    room = {zone: max(0, zone_limit - tasks_by_zone.get(zone, 0)) for zone in rentable_zones}
+    demands = []
+    # The tasks are divided evenly; what a zone with little room can't take goes to the next.
     for number, zone in enumerate(sorted(room, key=lambda zone: (room[zone], zone))):
-        share = min(room[zone], -(-tasks // (len(room) - number)))
+        share = min(room[zone], -(-tasks // (len(room) - number)))  # rounded up
         if share > 0:
-            found.append(Demand(spec.need, share, run_s, _allowed_in_zones(spec, {zone})))
+            demands.append(Demand(spec.need, share, run_s, _allowed_in_zones(spec, {zone})))
             tasks -= share
-    return found
+    return demands
 
 
 def _allowed_in_zones(spec: JobSpec, zones: Collection[Zone]) -> Callable[[Offer], bool]:
--- a/dunehold/coordination/planning/progress.py
+++ b/dunehold/coordination/planning/progress.py
@@ -1,4 +1,4 @@
-"""What the leader knows of an active job beyond its record."""
+"""The leader's in-memory state of an active job."""
 
 from __future__ import annotations
 
@@ -9,29 +9,32 @@
 from dunehold.protocol.users import JobSpec
 from dunehold.types import UNBOUNDED, MonotonicTime, TaskId
 
-MIN_PEER_DURATIONS, MAX_DURATIONS = 4, 200
+MIN_PEER_DURATIONS = 4  # ended tasks of a job that a run is compared with at least
+MAX_DURATIONS = 200  # durations that are kept of each job
 
 
 @dataclass(slots=True)
 class JobProgress:
-    """What the leader knows of an active job beyond its record."""
+    """What the leader knows about an active job in addition to its record."""
 
     spec: JobSpec
-    waiting: set[int]
-    completion_targets_s: list[float] = field(
-        default_factory=list
-    )  # when its aims want it complete
-    start_target_s: float = UNBOUNDED  # when its class wants it started
-    durations: list[float] = field(default_factory=list)  # of its tasks, in order
-    held_until: MonotonicTime = MonotonicTime(-1e9)
-    started_tasks: set[int] = field(default_factory=set)  # tasks that were seen to run
-    at_team_limit_s: float = 0.0  # for so long its team had no room under its limit
+    waiting: set[int]  # numbers of the tasks that wait for a start
+    # Seconds after the job became eligible by which its objectives want it complete, sorted.
+    completion_targets_s: list[float] = field(default_factory=list)
+    # Seconds after the job became eligible by which its class should start.
+    start_target_s: float = UNBOUNDED
+    durations: list[float] = field(default_factory=list)  # of its ended tasks in s, sorted
+    held_until: MonotonicTime = MonotonicTime(-1e9)  # no task is started before
+    started_tasks: set[int] = field(default_factory=set)  # tasks that were reported running
+    at_team_limit_s: float = 0.0  # how long it waited because its team was at its limit
 
 
 def slowness(progress: JobProgress, ran_s: float) -> float | None:
-    """A run's time by that of its job's other tasks, which are alike.
+    """The duration of a run divided by the third quartile of the job's other tasks.
 
-    None until half of them have ended: those that end first are the fast ones.
+    The tasks of a job are alike, so a high ratio points to a slow host. Returns None until
+    half of the tasks have ended (at least MIN_PEER_DURATIONS, at most MAX_DURATIONS), because
+    those that end first are the fast ones.
     """
     known = progress.durations
     if len(known) < max(MIN_PEER_DURATIONS, min(progress.spec.tasks // 2, MAX_DURATIONS)):
@@ -40,7 +43,7 @@
 
 
 def waiting_tasks(record: JobRecord, ledger: Ledger) -> set[int]:
-    """Tasks of a job that are neither done nor, possibly, on a machine."""
+    """Numbers of the tasks that are neither done nor possibly on a host."""
     spec = record.spec
     assert spec is not None
     return {
--- a/dunehold/coordination/planning/snapshot_builder.py
+++ b/dunehold/coordination/planning/snapshot_builder.py
@@ -1,4 +1,4 @@
-"""From the ledger and the job records to the scheduler's snapshot and the autoscaler's."""
+"""Builds the inputs of the scheduler and the autoscaler from the ledger and job records."""
 
 from __future__ import annotations
 
@@ -52,68 +52,75 @@
     Zone,
 )
 
-DEFAULT_SERVICE_START_S = 10.0  # for a replica to start, where the settings state no aim
-MAX_TASKS_PER_PLAN = 200
-SUSPECT_PENALTY_S = 30.0
-SUSPECT_S = 60.0
-MAX_POSTPONEMENTS = 3
+DEFAULT_SERVICE_START_S = 10.0  # for a replica to start, if the settings state no objective
+MAX_TASKS_PER_PLAN = 200  # tasks of one job in a snapshot, gangs excepted
+SUSPECT_PENALTY_S = 30.0  # cost that is added to starts on a suspect host
+SUSPECT_S = 60.0  # how long the penalty applies after a host became suspect
+MAX_POSTPONEMENTS = 3  # completion targets that a job gives up at most
 SCARCITY_HALF_LIFE_S = 60.0
 BURST_HALF_LIFE_S = 60.0
-COMMAND_DELIVERY_S = 0.5  # the log of starts, and the way to the worker
+COMMAND_DELIVERY_S = 0.5  # to write the start log and to deliver the command to the worker
 
 
 def report_timeout_s(settings: Settings) -> float:
-    """Two reports late, and the time that a worker waits before it tries another node."""
+    """Seconds without a report after which nothing is started on a host.
+
+    This covers two late reports and the time that a worker waits before it tries another node.
+    """
     return 2.5 * settings.report_s + 1.0
 
 
 def _usable(host: Host) -> bool:
-    """Work may be started there now, as far as the machine is concerned."""
+    """Whether tasks can be started on the host now.
+
+    Orders, quarantine and the like are not taken into account.
+    """
     return host.session_known and host.is_reporting and host.recorded
 
 
 @dataclass(slots=True)
 class _CachedHostState:
-    """A machine as plans see it, good for its version of the books and until a moment."""
+    """The state of a host for plans.
+
+    It is valid for one version of the host in the ledger, and until a point in time.
+    """
 
     host: Host
     version: int
-    usable: bool  # had reported, and was on record
+    usable: bool  # the value of _usable when the state was built
     valid_until: float
     state: HostState
 
 
 @dataclass(slots=True)
 class SnapshotBuilder:
+    """Builds snapshots for the scheduler, and hosts and demands for the autoscaler."""
+
     settings: Settings
     ledger: Ledger
     estimates: RuntimeEstimates
     types: dict[TypeName, MachineType]
     health: Health
     zones: ZoneMonitor
+    # CPUs wanted lately by jobs that fit only some kinds of machines, by the set of kinds.
     demand_by_kinds: dict[frozenset[MachineKind], float] = field(default_factory=dict)
     scarcity_updated_at: MonotonicTime = MonotonicTime(0.0)
-    demand_peaks: deque[tuple[float, float]] = field(
-        default_factory=deque
-    )  # (when, cpus wanted)
+    # Time and CPUs wanted: the peaks of demand that may still be the highest of the period.
+    demand_peaks: deque[tuple[float, float]] = field(default_factory=deque)
 
     scarcity: dict[MachineKind, float] = field(default_factory=dict)
-    burst_cpus: float = 0.0  # CPUs that one job of a higher rank asked for lately
+    burst_cpus: float = 0.0  # at burst_at: CPUs of the largest recent job above the lowest rank
     burst_at: MonotonicTime = MonotonicTime(0.0)
-    guaranteed_jobs: set[JobId] | None = None  # None: to be counted anew
-    # When an order takes the machine out of service; infinite if none is known to.
+    guaranteed_jobs: set[JobId] | None = None  # None means that the set has to be recomputed
+    # When an order takes the host out of service; infinite if no known order does.
     out_of_service_at: Callable[[Host, MonotonicTime], float] = lambda host, now: math.inf
-    protected_teams: Callable[[], frozenset[Team]] = (
-        frozenset  # nothing of theirs is stopped by choice
-    )
-    postponements: dict[JobId, int] = field(
-        default_factory=dict
-    )  # aims given up for others' sake
+    protected_teams: Callable[[], frozenset[Team]] = frozenset  # their runs are not preempted
+    # How many completion targets a job gives up in favour of other jobs.
+    postponements: dict[JobId, int] = field(default_factory=dict)
     priority_inheritance: PriorityInheritance = field(init=False)
     _host_state_cache: dict[HostId, _CachedHostState] = field(default_factory=dict)
-    _fastest_fetch_gb_per_s: float = field(
-        init=False
-    )  # asked for with every entry of every plan
+    # Computed only once, because each entry of each plan needs it.
+    _fastest_fetch_gb_per_s: float = field(init=False)
 
     def __post_init__(self) -> None:
         rates = (kind.fetch_gb_per_s for kind in self.types.values())
@@ -123,13 +130,19 @@
         )
 
     def create_progress(self, record: JobRecord) -> JobProgress:
+        """Creates the state of an active job with its waiting tasks and its targets."""
         spec = record.spec
         assert spec is not None
-        aims = self.settings.objectives
-        waits = [a.within_s for a in aims if a.kind == "wait" and a.job_class == spec.job_class]
+        all_objectives = self.settings.objectives
+        waits = [
+            o.within_s
+            for o in all_objectives
+            if o.kind == "wait" and o.job_class == spec.job_class
+        ]
         if spec.kind is JobKind.SERVICE and not waits:
-            # No aim speaks of it: as soon as whatever the users want started soonest.
-            waits = [a.within_s for a in aims if a.kind in ("wait", "guarantee")]
+            # No objective covers this service, so it gets the shortest start time that is set
+            # for any class.
+            waits = [o.within_s for o in all_objectives if o.kind in ("wait", "guarantee")]
             waits.append(Duration(DEFAULT_SERVICE_START_S))
         return JobProgress(
             spec,
@@ -139,18 +152,24 @@
         )
 
     def completion_targets_s(self, record: JobRecord) -> list[float]:
-        """When its own aims, and those of jobs that need it, want it complete."""
-        spec, wanted_at = record.spec, record.eligible_at
+        """Completion targets by the job's own objectives and its dependents' deadlines.
+
+        They are sorted, in seconds after the job became eligible.
+        """
+        spec, became_eligible_at = record.spec, record.eligible_at
         assert spec is not None
-        waited_s = wanted_at - record.accepted_at
-        found = [completion_target_s(aim, spec, waited_s) for aim in self.settings.objectives]
-        limits = [limit for limit in found if limit is not None]
+        waited_s = became_eligible_at - record.accepted_at
+        own = [
+            completion_target_s(objective, spec, waited_s)
+            for objective in self.settings.objectives
+        ]
+        targets = [target for target in own if target is not None]
         due_at = self.priority_inheritance.due_at(spec.id)
         if due_at < math.inf:
-            limits.append(max(0.0, due_at - wanted_at))
-        return sorted(limits)
+            targets.append(max(0.0, due_at - became_eligible_at))
+        return sorted(targets)
 
-    # -- for the scheduler -----------------------------------------------------------
+    # -- scheduler -------------------------------------------------------------------
 
     def snapshot(
         self,
@@ -158,6 +177,7 @@
         now: MonotonicTime,
         wall: WallTime,
     ) -> Snapshot:
+        """Builds the scheduler's input for the present moment."""
         if self.guaranteed_jobs is None:
             self.guaranteed_jobs = guarantees.jobs_within_guarantee(
                 self.settings, self.ledger, self.health, jobs, self._cpus_outside_lost_zones()
@@ -170,18 +190,19 @@
             if record is None:
                 continue
             if progress.spec.kind is JobKind.GANG and job in self.ledger.task_zones_by_job:
-                continue  # what is left of it ends by itself; then all start anew
+                # Its remaining tasks exit by themselves; then the whole gang is started again.
+                continue
             if not self.ledger.may_start_job(progress.spec):
                 continue
             entries.append(self._entry(record, progress, job in self.guaranteed_jobs, wall))
         team_room = {}
         for team in self.settings.teams.values():
             if team.limit_cpus is not None or team.limit_gpus is not None:
-                use = self.ledger.max_team_usage(team.name)
+                usage = self.ledger.max_team_usage(team.name)
                 limit = Resources(
                     team.limit_cpus or math.inf, team.limit_gpus or math.inf, math.inf
                 )
-                team_room[team.name] = limit.minus(use)
+                team_room[team.name] = limit.minus(usage)
         return Snapshot(
             self.host_states(now),
             entries,
@@ -196,46 +217,56 @@
         )
 
     def record_arrival(self, spec: JobSpec, now: MonotonicTime) -> None:
+        """Records a new job, for the reserve that work of the lowest rank leaves free."""
         if self.priority_inheritance.effective_rank(spec) is not Rank.LOW:
             self.burst_cpus = max(self._decayed_burst_cpus(now), spec.tasks * spec.need.cpus)
             self.burst_at = now
 
     def _decayed_burst_cpus(self, now: MonotonicTime) -> float:
-        faded: float = 0.5 ** ((now - self.burst_at) / BURST_HALF_LIFE_S)
-        return self.burst_cpus * faded
+        decay: float = 0.5 ** ((now - self.burst_at) / BURST_HALF_LIFE_S)
+        return self.burst_cpus * decay
 
     def reserve_cpus(self, now: MonotonicTime) -> float:
-        """What work of the lowest rank leaves free, so that others start at once. Nothing, some
-        minutes after the last of them, so that it never waits for nobody's sake."""
+        """CPUs that work of the lowest rank leaves free so that other jobs start at once.
+
+        The reserve is at most ``idle_reserve_share`` of the CPUs of connected hosts. It decays
+        to 0 within minutes of the last other job, so that work of the lowest rank does not wait
+        when no other job comes.
+        """
         share = self.settings.operator.idle_reserve_share
         cpus = sum(h.capacity.cpus for h in self.ledger.hosts.values() if h.session_known)
         reserve = min(share * cpus, self._decayed_burst_cpus(now))
         return reserve if reserve >= 1.0 else 0.0
 
     def host_states(self, now: MonotonicTime) -> list[HostState]:
-        """Usable machines. What was pictured is used again until something changes."""
+        """The hosts that tasks can be planned for, booting ones included.
+
+        A state is reused until the host changes or the state expires.
+        """
         hosts = []
-        silent_s = self.report_timeout_s
+        timeout_s = self.report_timeout_s
         for host in self.ledger.hosts.values():
             if host.draining is not None or host.deleting or host.fenced:
                 continue
-            if host.session_known and now - host.reported_at > silent_s:
-                # A start would hang with it and hold up its task, or, where only direct calls
-                # reach the machine, die with its lease.
+            if host.session_known and now - host.reported_at > timeout_s:
+                # A start would get no answer and would keep its task from starting elsewhere.
+                # If only direct calls reach the host, the task would be killed when the lease
+                # of the worker expires.
                 continue
-            pictured = self._host_state_cache.get(host.id)
+            cached = self._host_state_cache.get(host.id)
             if (
-                pictured is None
-                or pictured.host is not host
-                or pictured.version != host.version
-                or pictured.usable is not _usable(host)
-                or now >= pictured.valid_until
+                cached is None
+                or cached.host is not host
+                or cached.version != host.version
+                or cached.usable is not _usable(host)
+                or now >= cached.valid_until
             ):
                 if host.type not in self.types:
                     continue
-                pictured = self._build_host_state(host, now)
-                self._host_state_cache[host.id] = pictured
-            hosts.append(pictured.state)
+                cached = self._build_host_state(host, now)
+                self._host_state_cache[host.id] = cached
+            hosts.append(cached.state)
+        # Drops the states of deleted hosts.
         if len(self._host_state_cache) > 2 * len(self.ledger.hosts) + 100:
             self._host_state_cache = {
                 h: s for h, s in self._host_state_cache.items() if h in self.ledger.hosts
@@ -243,8 +274,10 @@
         return hosts
 
     def _cpus_outside_lost_zones(self) -> float | None:
-        """CPUs of machines that are counted on while a zone is lost, those booting included;
-        None while none is: guarantees hold in full then."""
+        """CPUs of the hosts outside lost zones, booting hosts included.
+
+        Returns None while no zone is lost: guarantees then hold in full.
+        """
         if not self.zones.any_lost:
             return None
         return sum(
@@ -254,7 +287,10 @@
         )
 
     def invalidate_zone(self, zone: Zone) -> None:
-        """The zone's condition has changed, and with it what a start there costs."""
+        """Drops the cached host states of a zone whose condition has changed.
+
+        The cost of a start there depends on the condition.
+        """
         self._host_state_cache = {
             h: s for h, s in self._host_state_cache.items() if s.host.zone != zone
         }
@@ -266,6 +302,7 @@
         guaranteed: bool,
         wall: WallTime,
     ) -> Entry:
+        """Builds the scheduler's entry for the waiting tasks of a job."""
         spec = progress.spec
         run_s = self.estimates.run_s(spec)
         waited = max(0.0, wall - record.eligible_at)
@@ -275,8 +312,8 @@
 
         gang = spec.kind is JobKind.GANG
         broken = self.health.is_broken(spec.id)
-        most = 1 if broken else MAX_TASKS_PER_PLAN
-        tasks = progress.waiting if gang else islice(progress.waiting, most)
+        max_tasks = 1 if broken else MAX_TASKS_PER_PLAN
+        tasks = progress.waiting if gang else islice(progress.waiting, max_tasks)
         return Entry(
             job=spec.id,
             team=spec.team,
@@ -305,45 +342,56 @@
         )
 
     def _is_held_back(self, job: JobId, progress: JobProgress, now: MonotonicTime) -> bool:
+        """Whether no task of the job may be started now although some are waiting."""
         if now < progress.held_until or self.health.in_backoff(job, now):
             return True
-        # One that fails everywhere is tried with one task at a time.
+        # A broken job is tried with one task at a time.
         return self.health.is_broken(job) and job in self.ledger.task_zones_by_job
 
     def _order(
-        self, progress: JobProgress, waited: float, run_s: float, at: float
+        self, progress: JobProgress, waited: float, run_s: float, eligible_at: float
     ) -> tuple[float, ...]:
+        """Sort key of the job in the list, after rank, urgency and guarantee.
+
+        Jobs with fewer postponements go first, then those with the least time until their
+        latest start for the next target, then those that have been eligible for longer.
+        Services are sorted by their start target.
+        """
         if progress.spec.kind is JobKind.SERVICE:
-            return (0.0, progress.start_target_s, at)
+            return (0.0, progress.start_target_s, eligible_at)
         rounds = self.postponements.get(progress.spec.id, 0)
         return (
             float(rounds),
             next_completion_target_s(progress, waited, run_s, rounds) - waited - run_s,
-            at,
+            eligible_at,
         )
 
     def update_postponements(
         self, jobs: dict[JobId, JobProgress], now: MonotonicTime, wall: WallTime
     ) -> None:
-        """Which aims to give up, where not all can be met.
+        """Decides which completion targets to give up if not all can be met.
 
-        Room is taken to free up as fast as what runs now began. In the order of the latest
-        moments to start, where a job would start too late, the largest of its class so far
-        steps down to its next aim (as Moore and Hodgson minimise the number of late jobs).
-        Without this, those about to be late go first, and a backlog makes all of them late.
-        Never for another class's sake: large jobs would then miss all of their aim.
+        Jobs are examined in the order of their latest starts in time. Where a job would start
+        too late, the largest job of its class so far is postponed to its next target, as in
+        the Moore-Hodgson algorithm, which minimises the number of late jobs. Without this, the
+        jobs that are about to be late go first, and a backlog makes all jobs late. No job is
+        postponed in favour of another class, because then large jobs would miss their
+        objective altogether.
+
+        Room is assumed to free up at the rate at which the present runs were started: the CPUs
+        in use divided by the mean duration of the runs, weighted by CPUs.
         """
         states = [state for state in self.host_states(now) if state.ready_at <= now]
-        free = sum(state.free.cpus for state in states)
-        used = spent = 0.0
+        free_cpus = sum(state.free.cpus for state in states)
+        used_cpus = run_cpu_s = 0.0
         for state in states:
             for run in state.runs:
                 if run.ends_at < math.inf:
-                    used += run.need.cpus
-                    spent += run.need.cpus * (max(run.ends_at, now) - run.began_at)
-        rate = used * used / spent if spent > 0 else 0.0  # CPUs a second
+                    used_cpus += run.need.cpus
+                    run_cpu_s += run.need.cpus * (max(run.ends_at, now) - run.began_at)
+        freed_cpus_per_s = used_cpus * used_cpus / run_cpu_s if run_cpu_s > 0 else 0.0
         self.postponements = {}
-        ranks: dict[Rank, list[JobId]] = {}
+        jobs_by_rank: dict[Rank, list[JobId]] = {}
         active = self.ledger.view.active
         for job, progress in jobs.items():
             if (
@@ -352,64 +400,72 @@
                 and progress.spec.kind is not JobKind.SERVICE
                 and not self.health.is_broken(job)
             ):
-                ranks.setdefault(
+                jobs_by_rank.setdefault(
                     self.priority_inheritance.effective_rank(progress.spec), []
                 ).append(job)
-        wanted = 0.0
-        for rank in sorted(ranks, reverse=True):
-            pending = ranks[rank]
+        wanted_cpus = 0.0
+        for rank in sorted(jobs_by_rank, reverse=True):
+            pending = jobs_by_rank[rank]
             for rounds in range(MAX_POSTPONEMENTS):
                 rows = []
                 for job in pending:
                     progress = jobs[job]
                     run_s = self.estimates.run_s(progress.spec)
                     waited = max(0.0, wall - active[job].eligible_at)
-                    start = (
+                    latest_start = (
                         next_completion_target_s(progress, waited, run_s, rounds)
                         - waited
                         - run_s
                     )
                     cpus = len(progress.waiting) * progress.spec.need.cpus
-                    rows.append((start, job, cpus, progress.spec.job_class))
-                wanted, pending = select_postponed_jobs(rows, wanted, free, rate)
+                    rows.append((latest_start, job, cpus, progress.spec.job_class))
+                wanted_cpus, pending = select_postponed_jobs(
+                    rows, wanted_cpus, free_cpus, freed_cpus_per_s
+                )
                 for job in pending:
                     self.postponements[job] = rounds + 1
 
     def _slack_s(
         self, progress: JobProgress, waited: float, run_s: float, guaranteed: bool
     ) -> float:
-        """How long it can still wait without missing an aim that can still be met.
+        """How long the job can still wait without missing a target that can still be met.
 
-        A start counts from when the image is there, so the time to fetch it is no time to
-        wait for better room.
+        A task counts as started only once its image is there. The time to fetch the image is
+        therefore subtracted.
         """
         if progress.spec.kind is JobKind.SERVICE:
-            # A replica that is not up is as late as any, however old its job is.
+            # Every replica that is not up is equally late, whatever the age of its job.
             return max(0.0, progress.start_target_s - self._start_delay_s(progress.spec))
         slacks = []
-        starts = [progress.start_target_s, self.guarantee_target_s if guaranteed else UNBOUNDED]
-        for limit in starts:
-            if waited <= limit < UNBOUNDED:
-                slacks.append(max(0.0, limit - waited - self._start_delay_s(progress.spec)))
-        slacks.extend(limit - waited - run_s for limit in progress.completion_targets_s)
-        found = min((slack for slack in slacks if slack >= 0), default=UNBOUNDED)
-        if found < UNBOUNDED:
-            return found
-        # All are missed, or there are none: until it rises on the list again.
+        start_targets = [
+            progress.start_target_s,
+            self.guarantee_target_s if guaranteed else UNBOUNDED,
+        ]
+        for target in start_targets:
+            if waited <= target < UNBOUNDED:
+                slacks.append(max(0.0, target - waited - self._start_delay_s(progress.spec)))
+        slacks.extend(target - waited - run_s for target in progress.completion_targets_s)
+        slack_s = min((slack for slack in slacks if slack >= 0), default=UNBOUNDED)
+        if slack_s < UNBOUNDED:
+            return slack_s
+        # All targets are missed or there are none. The job can wait until the next target that
+        # lets it move up the list again.
         return max(0.0, next_completion_target_s(progress, waited, run_s, 0) - waited - run_s)
 
     def _start_delay_s(self, spec: JobSpec) -> float:
-        """From the decision to a running task: the command's way, and mostly a fetch."""
+        """Seconds from the decision to a running task: command delivery and image fetch."""
         return COMMAND_DELIVERY_S + spec.image_gb / self._fastest_fetch_gb_per_s
 
     @property
     def report_timeout_s(self) -> float:
+        """Seconds without a report after which nothing is started on a host."""
         return report_timeout_s(self.settings)
 
     @property
     def guarantee_target_s(self) -> float:
-        aims = [a.within_s for a in self.settings.objectives if a.kind == "guarantee"]
-        return min(aims, default=UNBOUNDED)
+        """Seconds in which jobs within their team's guarantee should start."""
+        targets = [o.within_s for o in self.settings.objectives if o.kind == "guarantee"]
+        return min(targets, default=UNBOUNDED)
 
     def _build_host_state(self, host: Host, now: MonotonicTime) -> _CachedHostState:
         kind = self.types[host.type]
@@ -417,16 +473,17 @@
         ready = 0.0
         if not _usable(host):
             ready = max(now + 1.0, host.created_at + kind.boot_s)
-            # It may be up any moment, which is a change; if not, look again before that.
+            # The state is rebuilt once the host is usable. If it still boots at the estimated
+            # time, the estimate is renewed shortly before that.
             until = max(now + 0.5, host.created_at + kind.boot_s - 0.5)
         penalty = self.zones.penalty_s(host.zone)
         if host.error_at is not None and now - host.error_at < SUSPECT_S:
             penalty += SUSPECT_PENALTY_S
             until = min(until, host.error_at + SUSPECT_S)
-        cached = frozenset(self._cached_images(host, kind))
+        images = frozenset(self._cached_images(host, kind))
         runs = tuple(self._run_state(run, now) for run in host.runs.values() if run.occupies)
         for run in runs:
-            until = min(until, run.ends_at)  # it overruns from then on
+            until = min(until, run.ends_at)  # the run then exceeds its estimate
         state = HostState(
             host.id,
             host.type,
@@ -434,7 +491,7 @@
             host.spot,
             host.capacity,
             host.free,
-            cached,
+            images,
             kind.fetch_gb_per_s,
             runs,
             ready,
@@ -443,7 +500,7 @@
             frozenset(
                 run.image
                 for run in host.runs.values()
-                if run.phase is TaskPhase.FETCHING and run.image not in cached
+                if run.phase is TaskPhase.FETCHING and run.image not in images
             ),
             out_of_service_at=self.out_of_service_at(host, now),
         )
@@ -451,12 +508,15 @@
 
     @staticmethod
     def _cached_images(host: Host, kind: MachineType) -> list[Image]:
-        """The images used last, as many as its cache takes."""
+        """The images used last, as many as the image cache of the host holds.
+
+        A cache size of 0 means that there is no limit.
+        """
         kept: list[Image] = []
-        left = kind.cache_gb or math.inf
-        for image, (_, size) in sorted(host.images.items(), key=lambda i: -i[1][0]):
-            left -= size
-            if left < 0:
+        left_gb = kind.cache_gb or math.inf
+        for image, (_, size_gb) in sorted(host.images.items(), key=lambda i: -i[1][0]):
+            left_gb -= size_gb
+            if left_gb < 0:
                 break
             kept.append(image)
         return kept
@@ -464,15 +524,15 @@
     def _run_state(self, run: Run, now: MonotonicTime) -> RunState:
         record = self.ledger.view.jobs.get(run.id.task.job)
         spec = record.spec if record is not None else None
-        ran = run.ran_s(now)
-        ends = self.estimates.remaining_s(spec, ran) if spec is not None else 1.0
+        elapsed_s = run.ran_s(now)
+        expected_s = self.estimates.remaining_s(spec, elapsed_s) if spec is not None else 1.0
         if spec is not None and spec.kind is JobKind.SERVICE:
-            ends = math.inf
+            expected_s = math.inf
         return RunState(
             run.id,
             run.need,
-            now + ends,
-            now - ran,
+            now + expected_s,
+            now - elapsed_s,
             run.tier,
             self.priority_inheritance.effective_rank(spec) if spec is not None else Rank.LOW,
             run.team,
@@ -482,21 +542,25 @@
         )
 
     def update_scarcity(self, jobs: dict[JobId, JobProgress], now: MonotonicTime) -> None:
-        """Scarcity: how much of a kind's room goes to work that fits no other kind.
+        """Updates the scarcity of each kind of machine.
 
-        A kind is a type, spot or not: work that must not be lost with a spot machine has but
-        the ordinary ones, which all else would fill as well.
+        Scarcity is the share of a kind's room, at most 1, that is wanted by jobs which fit
+        only some kinds. A kind is a machine type, either spot or ordinary: jobs that must not
+        be lost with a spot machine can use only ordinary ones, which other work would fill as
+        well.
 
-        Lately, not just now: such work comes again, and room that is filled with work that
-        could run elsewhere is not there for it.
+        The demand of such jobs counts with a decay, not only while they are active, because
+        such jobs come again and then find no room if it is filled with work that could run
+        elsewhere.
         """
         room: dict[MachineKind, float] = {}
         for host in self.ledger.hosts.values():
             if host.draining is None and not host.deleting and host.type in self.types:
                 kind = host.type, host.spot
                 room[kind] = room.get(kind, 0.0) + host.capacity.cpus
-        # Both kinds of every type that there is: as spot machines come and go, what fits a job
-        # must stay the same, or its wants of before would go on counting against a part of it.
+        # Both kinds of each type in the fleet are listed, because the set of kinds that a job
+        # fits must stay the same while spot machines come and go. Otherwise its earlier demand
+        # would go on counting against a part of that set.
         kinds = {(name, spot) for name, _ in room for spot in (True, False)}
         wanted: dict[frozenset[MachineKind], float] = {}
         for job, progress in jobs.items():
@@ -511,36 +575,39 @@
                 and (spec.spot or not spot)
             )
             if fits and len(fits) < len(kinds):
-                left = len(progress.waiting) + len(self.ledger.task_zones_by_job.get(job, ()))
-                wanted[fits] = wanted.get(fits, 0.0) + left * spec.need.cpus
-        fade = 0.5 ** ((now - self.scarcity_updated_at) / SCARCITY_HALF_LIFE_S)
+                tasks = len(progress.waiting) + len(self.ledger.task_zones_by_job.get(job, ()))
+                wanted[fits] = wanted.get(fits, 0.0) + tasks * spec.need.cpus
+        decay = 0.5 ** ((now - self.scarcity_updated_at) / SCARCITY_HALF_LIFE_S)
         self.scarcity_updated_at = now
         for fits in {*wanted, *self.demand_by_kinds}:
             self.demand_by_kinds[fits] = max(
-                wanted.get(fits, 0.0), self.demand_by_kinds.get(fits, 0.0) * fade
+                wanted.get(fits, 0.0), self.demand_by_kinds.get(fits, 0.0) * decay
             )
-        load: dict[MachineKind, float] = {}
+        scarcity_by_kind: dict[MachineKind, float] = {}
         for fits, cpus in self.demand_by_kinds.items():
-            have = sum(room.get(kind, 0.0) for kind in fits)
+            total_cpus = sum(room.get(kind, 0.0) for kind in fits)
             for kind in fits:
-                load[kind] = max(load.get(kind, 0.0), min(1.0, cpus / max(have, 1.0)))
-        self.scarcity = load
+                scarcity_by_kind[kind] = max(
+                    scarcity_by_kind.get(kind, 0.0), min(1.0, cpus / max(total_cpus, 1.0))
+                )
+        self.scarcity = scarcity_by_kind
 
-    # -- for the autoscaler ------------------------------------------------------------
+    # -- autoscaler --------------------------------------------------------------------
 
     def fleet_hosts(self, now: MonotonicTime) -> list[FleetHost]:
-        """Machines that work can be planned for, and what frees up on them soon."""
-        found = []
+        """The hosts that tasks can be planned for, and the room that will free up on them."""
+        fleet = []
         for state in self.host_states(now):
             host = self.ledger.hosts[state.id]
-            idle = None if host.idle_since is None else now - host.idle_since
-            freed = [(run.ends_at - now, run.need) for run in state.runs]
+            idle_s = None if host.idle_since is None else now - host.idle_since
+            releases = [(run.ends_at - now, run.need) for run in state.runs]
             offer = Offer(host.type, host.zone, host.spot)
-            found.append(FleetHost(host.id, offer, host.capacity, host.free, freed, idle))
-        return found
+            fleet.append(FleetHost(host.id, offer, host.capacity, host.free, releases, idle_s))
+        return fleet
 
     def demands(self, jobs: dict[JobId, JobProgress], now: MonotonicTime) -> list[Demand]:
-        found = []
+        """The demands of waiting tasks, by rank and then by age of their jobs."""
+        all_demands = []
         active = self.ledger.view.active
         waiting = [
             (
@@ -554,33 +621,33 @@
             and now >= progress.held_until
             and not self.health.is_broken(job)
         ]
-        usable = [zone for zone in self.settings.zones if self.zones.rentable(zone)]
-        room: dict[Team, float] = {}
+        rentable_zones = [zone for zone in self.settings.zones if self.zones.rentable(zone)]
+        cpus_left: dict[Team, float] = {}
         for *_, job in sorted(waiting):
             progress = jobs[job]
             spec = progress.spec
             tasks = len(progress.waiting)
             team = self.settings.teams.get(spec.team)
             if team is not None and team.limit_cpus is not None and spec.need.cpus > 0:
-                # A team at its limit needs no more machines.
-                left = room.setdefault(
+                # More machines are of no use to a team at its limit.
+                left = cpus_left.setdefault(
                     spec.team, team.limit_cpus - self.ledger.max_team_usage(spec.team).cpus
                 )
                 tasks = min(tasks, int((left + EPSILON) / spec.need.cpus))
-                room[spec.team] = left - tasks * spec.need.cpus
+                cpus_left[spec.team] = left - tasks * spec.need.cpus
             if tasks > 0:
                 run_s, placed = self.estimates.run_s(spec), self.ledger.job_zones(job)
-                found += demands_for_job(spec, tasks, run_s, placed, usable)
-        return found
+                all_demands += demands_for_job(spec, tasks, run_s, placed, rentable_zones)
+        return all_demands
 
     def peak_demand_cpus(self, demands: list[Demand], now: MonotonicTime) -> float:
-        """The most CPUs wanted at once lately, and some headroom."""
-        memory = self.settings.operator.demand_memory_s
-        wanted = sum(use.cpus for use in self.ledger.usage_by_team.values())
-        wanted += sum(demand.need.cpus * demand.tasks for demand in demands)
-        while self.demand_peaks and self.demand_peaks[0][0] < now - memory:
+        """The most CPUs wanted at once within ``demand_memory_s``, with headroom added."""
+        memory_s = self.settings.operator.demand_memory_s
+        wanted_cpus = sum(usage.cpus for usage in self.ledger.usage_by_team.values())
+        wanted_cpus += sum(demand.need.cpus * demand.tasks for demand in demands)
+        while self.demand_peaks and self.demand_peaks[0][0] < now - memory_s:
             self.demand_peaks.popleft()
-        while self.demand_peaks and self.demand_peaks[-1][1] <= wanted:
+        while self.demand_peaks and self.demand_peaks[-1][1] <= wanted_cpus:
             self.demand_peaks.pop()
-        self.demand_peaks.append((now, wanted))
+        self.demand_peaks.append((now, wanted_cpus))
         return self.demand_peaks[0][1] * (1.0 + self.settings.operator.headroom_share)
--- a/dunehold/coordination/scheduler/__init__.py
+++ b/dunehold/coordination/scheduler/__init__.py
@@ -1,1 +1,1 @@
-"""MEASY as a pure function from a snapshot to decisions."""
+"""The MEASY scheduler: a pure function from a snapshot to scheduling decisions."""
--- a/dunehold/coordination/scheduler/backfill.py
+++ b/dunehold/coordination/scheduler/backfill.py
@@ -1,14 +1,15 @@
-"""The walk of MEASY over machines of several shapes (see docs/design.md).
+"""The MEASY scheduler for hosts of several machine types (see docs/design.md).
 
-Step 1 starts entries in list order until one does not fit: the head. Step 2 holds room for
-the head on the machine where it fits first (shadow time, extra room) and backfills later
-entries. Step 3 runs what is left in the background tier, in room promised to the head,
-shortest estimate first. Background runs are on the same list, and are lifted in place, or
-moved, when it is their turn.
+Step 1 starts entries in list order until one does not fit: the head of the list. Step 2
+reserves room for the head on the host where it fits first (shadow time, extra room) and
+backfills later entries. Step 3 starts remaining entries in the background tier, in room that is
+reserved for the head, the shortest estimate first. Before that, background runs that no
+reservation needs any more are promoted to the foreground in place, or stopped with a save in
+order to continue on another host.
 
-The tasks of an array are placed together: its machines are looked through once, the best
-first, and each is filled. Room only shrinks while a plan is made, so what found none is
-remembered, and whatever needs as much or more is not looked for again.
+The tasks of an array are placed together: its hosts are searched once, the cheapest first, and
+each is filled. Free room only shrinks while a plan is made. A need that found no room is
+therefore remembered, and no room is searched again for needs of the same size or larger.
 """
 
 from __future__ import annotations
@@ -34,12 +35,16 @@
 from dunehold.coordination.scheduler.preemption import PreemptionPlanner
 from dunehold.types import HostId, Rank, Tier, Zone
 
+# How much earlier another host must have room before a reservation moves to it.
 RESERVATION_STICKINESS_S = 5.0
-BACKGROUND_RUN_FACTOR = 0.5
+BACKGROUND_RUN_FACTOR = 0.5  # share of its estimate that a background run is taken to need
 
 
 class BackfillScheduler(PreemptionPlanner):
+    """Makes one plan. An instance is used for one call of ``run``."""
+
     def run(self) -> Plan:
+        """Decides what to start, stop and promote."""
         leftovers: list[Entry] = []
         for entry in self.entries:
             self._start_entry(entry)
@@ -53,10 +58,12 @@
         return self.plan
 
     def _start_gang(self, entry: Entry) -> None:
-        """Start all its tasks, or hold room for all of them."""
+        """Starts all tasks of the gang, in one zone if possible, or reserves room for all."""
         zones = {group.key[1] for group in self.groups.values()}
-        for group in [{zone} for zone in sorted(zones)] + ([] if entry.one_zone else [zones]):
-            chosen = self._gang_hosts(entry, group)
+        for allowed_zones in [{zone} for zone in sorted(zones)] + (
+            [] if entry.one_zone else [zones]
+        ):
+            chosen = self._gang_hosts(entry, allowed_zones)
             if len(chosen) == len(entry.waiting):
                 for host in chosen:
                     self._start(entry, host, Tier.FOREGROUND)
@@ -65,18 +72,18 @@
             self._reserve_gang_room(entry)
 
     def _gang_hosts(self, entry: Entry, zones: set[Zone]) -> list[HostState]:
-        """A machine for each task, as far as there are any in these zones."""
+        """A host for each task; fewer than there are tasks if these zones have no more room."""
         chosen: list[HostState] = []
         per_zone: dict[Zone, int] = {}
-        fitting = [h for h in self._all_hosts() if h.zone in zones and h.ready_at <= self.now]
-        for host in sorted(fitting, key=lambda h: self._group(h).scarcity):
+        ready = [h for h in self._all_hosts() if h.zone in zones and h.ready_at <= self.now]
+        for host in sorted(ready, key=lambda h: self._group(h).scarcity):
             if not self._fits_now(entry, host):
                 continue
             if host.id in self.reserved and not self._can_backfill(entry, host):
                 continue
             fits = self._unclaimed(host).count_fitting(entry.need)
             if host.id in self.reserved:
-                fits = min(fits, 1)
+                fits = min(fits, 1)  # _can_backfill has checked one task only
             limit = entry.zone_limit
             if limit is not None:
                 fits = min(fits, limit - per_zone.get(host.zone, 0))
@@ -86,7 +93,7 @@
         return chosen
 
     def _reserve_gang_room(self, entry: Entry) -> None:
-        """Reserve on the machines that free up first, until all its tasks have room."""
+        """Reserves room for all tasks of the gang on the hosts where they fit first."""
         left = len(entry.waiting)
         times = [
             (self._fits_at(entry.need, host), host)
@@ -94,22 +101,26 @@
             for host in group.hosts.values()
             if self._suits(entry, host)
         ]
-        holds: list[Reservation] = []
+        gang_reservations: list[Reservation] = []
         for at, host in sorted(times, key=lambda pair: pair[0]):
             if left <= 0 or at == NEVER:
                 break
             copies = min(left, host.total.count_fitting(entry.need))
             left -= copies
-            holds.append(Reservation(entry.job, host.id, entry.need.times(copies), at))
+            gang_reservations.append(
+                Reservation(entry.job, host.id, entry.need.times(copies), at)
+            )
         if left > 0:
-            return  # wider than the fleet as it is
-        shadow = max((hold.shadow_at for hold in holds), default=0.0)
-        for hold in holds:
-            hold.shadow_at = shadow
-            self.plan.reservations.append(hold)
-            self.reserved[hold.host] = hold
+            return  # the gang does not fit the present fleet
+        # The gang starts only once all of its tasks have room.
+        shadow = max((held.shadow_at for held in gang_reservations), default=0.0)
+        for reservation in gang_reservations:
+            reservation.shadow_at = shadow
+            self.plan.reservations.append(reservation)
+            self.reserved[reservation.host] = reservation
 
     def _start_entry(self, entry: Entry) -> None:
+        """Starts the entry's tasks; reserves or clears room for those that do not fit."""
         if entry.gang:
             if entry.team_slots >= len(entry.waiting) and self._team_allows(
                 entry, len(entry.waiting)
@@ -121,30 +132,32 @@
         if entry.broken or not entry.waiting:
             return
         if entry.team_slots <= 0 or not self._team_allows(entry):
-            return  # a team at its limit waits for itself, not for room
+            # The job waits for runs of its own team to end; room on a host would not help it.
+            return
         self._reserve_or_preempt(entry)
 
     def _reserve_or_preempt(self, entry: Entry) -> None:
-        """Reserve for the head, and clear room for it where the rules of preemption allow."""
+        """Reserves room if the entry is a head, and clears room where preemption is allowed."""
         head = len(self.reserved) < self.policy.reservations
         late, below = self._room_to_clear(entry)
         if not head and not late:
             return
         shadow, host = self._shadow_time(entry)
         if head and host is not None:
-            hold = Reservation(entry.job, host.id, entry.need, shadow)
-            self.plan.reservations.append(hold)
-            self.reserved[host.id] = hold
-            # The background on that machine makes way as soon as that is all it takes.
+            reservation = Reservation(entry.job, host.id, entry.need, shadow)
+            self.plan.reservations.append(reservation)
+            self.reserved[host.id] = reservation
+            # Background runs on that host are stopped once that alone makes enough room.
             self._evict_background(entry, host)
         if late:
             self.preemptors_left -= 1
             self._preempt(entry, shadow - self.now, late, below)
 
     def _start_background(self, entry: Entry) -> None:
+        """Starts tasks in the background tier on hosts where they are likely to finish."""
         if self.policy.backfill:
-            # Everything else was found to be full on the way here.
-            by_host = [self._host(hold.host) for hold in self.plan.reservations]
+            # The foreground pass has already tried all hosts without a reservation.
+            by_host = [self._host(held.host) for held in self.plan.reservations]
             hosts = [h for h in by_host if h.ready_at <= self.now and entry.allowed(h)]
         else:
             hosts = [
@@ -160,43 +173,51 @@
                 host = self._start(entry, host, Tier.BACKGROUND)
 
     def _likely_to_finish(self, entry: Entry, host: HostState) -> bool:
-        """Estimates are often wrong by half: what needs no more than twice the time until the
-        reservation needs its room may still end before. What needs more is only cut off."""
-        hold = self.reserved.get(host.id)
+        """Whether a background run may end before the reservation needs its room.
+
+        Estimates are often twice as long as the run. A task whose estimate is at most twice
+        the time left may therefore still end in time; a longer one would only be stopped.
+        """
+        reservation = self.reserved.get(host.id)
         ends_s = (entry.run_s + fetch_s(entry, host)) * BACKGROUND_RUN_FACTOR
-        return hold is None or self.now + ends_s <= hold.shadow_at
+        return reservation is None or self.now + ends_s <= reservation.shadow_at
 
     def _promote_background(self) -> None:
-        """Background runs that no reservation needs become foreground where they are."""
+        """Promotes background runs that no reservation needs to the foreground, in place.
+
+        Other resumable ones are stopped with a save if another host has room for them.
+        """
         if not self.policy.lifting:
             return
         moves = self.policy.max_moves
         for host in [host for host in self._all_hosts() if host.has_background]:
-            hold = self.reserved.get(host.id)
+            reservation = self.reserved.get(host.id)
             for run in host.runs:
                 if run.tier is not Tier.BACKGROUND or run.stopping:
                     continue
-                mine = self._writable_host(host)
+                writable = self._writable_host(host)
                 if (
-                    hold is None
-                    or run.ends_at <= hold.shadow_at
-                    or self._extra_room(mine, hold).holds(run.need)
+                    reservation is None
+                    or run.ends_at <= reservation.shadow_at
+                    or self._extra_room(writable, reservation).holds(run.need)
                 ):
-                    mine.replace_run(run, replace(run, tier=Tier.FOREGROUND))
+                    writable.replace_run(run, replace(run, tier=Tier.FOREGROUND))
                     self.plan.promotions.append(run.id)
                 elif run.resumable and moves > 0 and self._free_elsewhere(host, run):
                     moves -= 1
-                    mine.replace_run(run, replace(run, stopping=True))
+                    writable.replace_run(run, replace(run, stopping=True))
                     self.plan.stops.append(Stop(run.id, host.id, True, "move to foreground"))
 
     def _place(self, entry: Entry) -> None:
-        """Start as many of its tasks as find room, machine by machine, the best first."""
+        """Starts as many tasks of the entry as find room, filling the cheapest host first."""
         for _, _, _, host in self._candidates(entry):
             while self._can_take_task(entry, host):
-                # So many do better to leave this room to work that depends on it.
+                # All remaining tasks soon find room on hosts that less other work depends on,
+                # so the room on this host is left to the work that depends on it.
                 if len(entry.waiting) <= self._count_better_waiting(entry, host):
                     return self._promise_slots(entry)
-                # Once it has the image, the best place for the next is the same machine.
+                # The image is on its way to this host now, which makes it the cheapest host
+                # for the next task as well.
                 host = self._start(entry, host, Tier.FOREGROUND)
         self._promise_slots(entry)
 
@@ -208,67 +229,79 @@
         )
 
     def _wants_start(self, entry: Entry) -> bool:
+        """Whether a task is waiting that the CPU reserve and the team's limit let start."""
         if entry.rank == Rank.LOW and self.low_rank_cpus_left < entry.need.cpus:
             return False
         return bool(entry.waiting) and entry.team_slots > 0 and self._team_allows(entry)
 
     def _candidates(self, entry: Entry) -> list[tuple[float, float, HostId, HostState]]:
-        """Machines that could take one of its tasks now, in the order of their cost."""
+        """Hosts that could take a task of the entry now, with their costs, cheapest first."""
         groups = self._allowed_groups(entry)
         key = tuple(group.key for group in groups)
         failures = self.unplaceable_needs.setdefault(key, [])
+        # A need that is not larger has found no room; only hosts with reservations are left.
         full = any(entry.need.holds(need) for need in failures)
         if full:
-            places = [self._host(host) for host in self.reserved]
-            hosts = [h for h in places if self._suits(entry, h) and h.ready_at <= self.now]
+            reserved_hosts = [self._host(host) for host in self.reserved]
+            hosts = [
+                h for h in reserved_hosts if self._suits(entry, h) and h.ready_at <= self.now
+            ]
         else:
             hosts = [
                 h for group in self._suitable_groups(entry) for h in group.open_hosts.values()
             ]
-        found = []
-        free_of_holds = False
-        # Whether a need finds no room is told to others only if nothing else decided it.
-        picky = bool(entry.zone_limit or entry.one_zone)
+        candidates = []
+        found_unreserved = False
+        # The need is remembered as one without room only if nothing but room decided that.
+        constrained = bool(entry.zone_limit or entry.one_zone)
         for host in hosts:
             if not self._has_room(entry, host):
-                picky = picky or host.slowness > 1.0 or host.out_of_service_at < NEVER
+                constrained = (
+                    constrained or host.slowness > 1.0 or host.out_of_service_at < NEVER
+                )
                 continue
             if host.id in self.reserved:
                 if not self._can_backfill(entry, host):
                     continue
             else:
-                free_of_holds = True
-            found.append(self._cost(entry, host))
-        if not full and not free_of_holds and not picky:
+                found_unreserved = True
+            candidates.append(self._cost(entry, host))
+        if not full and not found_unreserved and not constrained:
             failures.append(entry.need)
-        found.sort(key=lambda cost: cost[:3])
-        return found
+        candidates.sort(key=lambda cost: cost[:3])
+        return candidates
 
     def _count_better_waiting(self, entry: Entry, best: HostState) -> int:
-        """How many of its tasks soon find room that less other work depends on.
+        """Counts the entry's tasks that soon find room on hosts which less other work needs.
 
-        Room that frees up is counted once: tasks earlier on the list have taken theirs.
+        Soon means at a lower cost than a start on ``best`` now, and within the entry's slack.
+        Room that frees up is counted only once: what is promised to earlier entries is
+        subtracted.
         """
         scarcity = self._group(best).scarcity
         if scarcity <= 0.0:
             return 0
-        cost = self._cost(entry, best)[0]
-        number = 0
+        cost_s = self._cost(entry, best)[0]
+        count = 0
         for kind, groups in self._suitable_groups_by_type(entry):
-            weight = groups[0].scarcity
-            if weight < scarcity:
-                limit = min(entry.slack_s, cost - SCARCITY_COST_S * weight)
-                slots = bisect_left(self._slot_times(entry.need, groups), self.now + limit)
-                number += max(0, slots - self.slots_taken.get(kind, 0))
-        return number
+            other_scarcity = groups[0].scarcity
+            if other_scarcity < scarcity:
+                limit_s = min(entry.slack_s, cost_s - SCARCITY_COST_S * other_scarcity)
+                slots = bisect_left(self._slot_times(entry.need, groups), self.now + limit_s)
+                count += max(0, slots - self.slots_taken.get(kind, 0))
+        return count
 
     def _promise_slots(self, entry: Entry) -> None:
-        """What waits will take the room that frees up first, the least scarce before."""
+        """Promises room that frees up to the tasks that stay waiting.
+
+        Later entries must not count on the same room. The least scarce types are promised
+        first.
+        """
         left = max(0, min(len(entry.waiting), entry.team_slots))
         self.last_promised_cpus = {}
         for kind, groups in self._suitable_groups_by_type(entry):
             if left <= 0:
-                break  # nothing is promised of the others
+                break  # all tasks have room; nothing is promised on scarcer types
             copies = groups[0].sample.total.count_fitting(entry.need)
             taken = min(left, copies * sum(len(group.hosts) for group in groups))
             self.slots_taken[kind] = self.slots_taken.get(kind, 0) + taken
@@ -279,31 +312,33 @@
             left -= taken
 
     def _shadow_time(self, entry: Entry) -> tuple[float, HostState | None]:
-        """When the entry fits first, if the foreground ends as estimated, and where.
+        """The earliest time at which a task fits, and the host.
 
-        The place is None when that is on a machine promised to another head.
+        Foreground runs are assumed to end as estimated. The host is None if it is reserved for
+        another head already, or if the entry never fits.
         """
         best: HostState | None = None
         best_at = NEVER
-        held = self.previous_reservations.get(entry.job)
+        previous = self.previous_reservations.get(entry.job)
         for group in self._suitable_groups(entry):
             for host in group.hosts.values():
                 if host.out_of_service_at < NEVER and self._outlasts_host(entry, host):
                     continue
-                hold = self.reserved.get(host.id)
-                # On a machine that is promised already it fits once both fit.
-                need = entry.need if hold is None else entry.need.plus(hold.need)
-                if held is not None and held.host == host.id:
-                    # An overrunning estimate alone must not send the reservation round the
-                    # fleet: each new place would start the wait again.
+                reservation = self.reserved.get(host.id)
+                # On a host that is reserved already, the entry fits once both needs fit.
+                need = entry.need if reservation is None else entry.need.plus(reservation.need)
+                if previous is not None and previous.host == host.id:
+                    # Without this preference, runs that overrun their estimates would move the
+                    # reservation from host to host, and each move would start the wait again.
                     at = self._fits_at(need, host) - RESERVATION_STICKINESS_S
                 else:
                     at = self._fits_at(need, host, best_at)
                 if at < best_at:
-                    best, best_at = (host if hold is None else None), at
+                    best, best_at = (host if reservation is None else None), at
         return max(best_at, self.now), best
 
     def _free_elsewhere(self, host: HostState, run: RunState) -> bool:
+        """Whether another host without a reservation has free room for the run."""
         return any(
             other.id != host.id
             and other.ready_at <= self.now
@@ -314,5 +349,9 @@
 
 
 def plan(snapshot: Snapshot, policy: Policy) -> Plan:
-    """Decide what to start, stop and lift. The entries are used up, the machines are not."""
+    """Decides what to start, stop and promote.
+
+    The entries of the snapshot are modified: started tasks are removed from ``waiting``, for
+    example. Its hosts are left unchanged.
+    """
     return BackfillScheduler(snapshot, policy).run()
