--- a/dunehold/coordination/election/__init__.py
+++ b/dunehold/coordination/election/__init__.py
@@ -1,1 +1,1 @@
-"""Who leads, and what a node does that can't reach who does."""
+"""Leader election: connectivity, the renewal of worker leases, and relays for cut-off zones."""
--- a/dunehold/coordination/election/lease_renewal.py
+++ b/dunehold/coordination/election/lease_renewal.py
@@ -1,12 +1,14 @@
-"""May a worker's lease be renewed now? Every path that renews one asks here.
+"""Decides whether worker leases may be renewed now. Every code path that renews one asks here.
 
-What a feeder can have missed is a cancellation that was confirmed after its last proof of a
-current view. It may therefore answer workers only for so long after that proof that the lease
-it renewed last, counted from when the answered report was sent, ends within ``cancel_s``:
+A node that renews leases may have missed a cancellation that was confirmed after the node's
+last proof of a current view. It may therefore answer workers only for a limited time after that
+proof. The limit is such that the lease renewed last, which counts from when the answered report
+was sent, ends within ``cancel_s``:
 
-    proof + feed limit + lease, on clocks that drift apart, <= proof + cancel_s - margin
+    proof + maximum proof age + lease_s, with clock drift, <= proof + cancel_s - margin
 
-Neither a peer nor a watch makes the time longer: only a proof of this process's own does.
+Only a proof that this process obtained itself extends the time; answers of peers and changes
+that the watch delivers do not.
 """
 
 from __future__ import annotations
@@ -18,27 +20,39 @@
 from dunehold.settings import Settings
 from dunehold.types import Duration
 
-# A killed task is gone a moment after its lease, and a stop that still saves is cut off by it.
+# Time between the end of the last lease and ``cancel_s``. A killed task disappears a moment
+# after the end of its lease, and a stop that is still saving then is cut off.
 STOP_MARGIN_S = 4.0
-CLOCK_DRIFT_FACTOR = 1.001  # two steady clocks, each up to 0.05% off
-RELAY_MAX_PROOF_AGE_S = (
-    2.0  # the oldest proof to feed by for a leader that the workers can't reach
-)
+# Relative drift of two monotonic clocks, each up to 0.05% off.
+CLOCK_DRIFT_FACTOR = 1.001
+# Maximum age of the proof by which a relay renews leases for a leader that the workers cannot
+# reach.
+RELAY_MAX_PROOF_AGE_S = 2.0
 
 
 @dataclass(slots=True)
 class LeaseRenewal:
+    """Limits the renewal of worker leases by the age of this node's latest proof."""
+
     settings: Settings
     sync: ViewSync
 
     @property
     def max_proof_age_s(self) -> Duration:
-        """How long leases are fed without proof: what follows must end within cancel_s."""
+        """How old the latest proof may be for leases to be renewed.
+
+        Chosen so that the last lease ends within ``cancel_s`` of the proof, less a margin of
+        ``STOP_MARGIN_S`` or half of the time left after a lease, whichever is shorter.
+        """
         left = self.settings.cancel_s - self.settings.lease_s * CLOCK_DRIFT_FACTOR
         return Duration(max(0.0, left - min(STOP_MARGIN_S, left / 2)))
 
     def allowed(self, relaying: bool = False) -> bool:
-        """The leader, or whoever feeds for it beyond a cut (``relaying``)."""
+        """Returns whether this node may renew worker leases now.
+
+        ``relaying``: as a relay for the leader, for which at most ``RELAY_MAX_PROOF_AGE_S``
+        applies, instead of as the leader itself.
+        """
         limit_s = (
             min(self.max_proof_age_s, RELAY_MAX_PROOF_AGE_S)
             if relaying
--- a/dunehold/coordination/election/relay.py
+++ b/dunehold/coordination/election/relay.py
@@ -1,18 +1,21 @@
-"""Keeping the workers of a cut-off zone alive for a leader that they can't reach.
-
-A follower in their zone that can't reach the leader either, but is served by the state
-service, answers their reports with the leader's token. What makes that safe:
-
-- It says so first, under a key of its own that only the leader's unchanged key lets
-  through, and feeds only while a proof not older than ``RELAY_MAX_PROOF_AGE_S`` shows that key
-  and the same leader. So once a key is gone, or there is a new leader, it stops within that
-  time.
-- The leader counts a lease as over only at a moment of which it has a proof. Without a key
-  in that proof, nobody fed before that moment; with one, the lease counts from now on.
-- It starts nothing, and stops what its proof shows to be cancelled or over.
-
-The key hangs on a lease: if the follower dies, so does the key. A connection that is refused
-is no cut (a packet filter between controllers refuses, too): the workers get through then.
+"""Relays: renewing the leases of workers in a cut-off zone for a leader that they cannot reach.
+
+A follower in the workers' zone that cannot reach the leader either, but is served by the state
+service, answers their reports with the leader's token. These rules make that safe:
+
+- The follower first writes a relay key of its own, in a transaction that succeeds only while
+  the leader key is unchanged. It answers workers only while a proof of at most
+  ``RELAY_MAX_PROOF_AGE_S`` shows its relay key and the same leader. Once the relay key is gone,
+  or there is a new leader, it stops within that time.
+- The leader treats a worker lease as over only as of a time for which it has a proof of a
+  current view. If the view holds no relay key for the zone, no relay answered workers there
+  before that time. If it holds one, the lease counts from the current time.
+- A relay starts nothing. It stops the tasks of jobs that its view shows to be cancelled or
+  done.
+
+The relay key is bound to a lease, so it disappears if the follower dies. A refused connection
+does not count as a cut: a packet filter between controllers refuses connections too, and then
+the workers still reach the leader.
 """
 
 from __future__ import annotations
@@ -34,43 +37,61 @@
 
 log = logging.getLogger(__name__)
 
+# Time between two checks of whether this node should relay.
 STEP_S = 0.5
+# Time without a path to the leader after which this node counts as cut off from it.
 LEADER_UNREACHABLE_S = 1.5
+# A node relays only if a worker of its zone has reported to it within this time.
 RECENT_REPORT_S = 5.0
+# Lifetime of the lease to which the relay key is bound; it is extended after a third of it.
 RELAY_LEASE_S = Duration(5.0)
 
 
 @dataclass(slots=True)
 class Relay:
+    """Answers the workers of this node's zone while this node is a relay.
+
+    Times of type ``MonotonicTime`` are seconds on the event loop's clock.
+    """
+
     settings: Settings
     state: StateClient
     view: View
     sync: ViewSync
     lease_renewal: LeaseRenewal
+    # Whether there is a network path to the machine of the named controller.
     reaches: Callable[[NodeId], Awaitable[bool]]
+    # Whether this node leads.
     is_leader: Callable[[], bool]
+    # When the leader was last reachable, or there was no other node as the leader.
     _reached_at: MonotonicTime = MonotonicTime(0.0)
-    _last_report_at: MonotonicTime = MonotonicTime(-1e9)  # when a worker of this zone came last
+    # When a worker of this zone last reported to this node.
+    _last_report_at: MonotonicTime = MonotonicTime(-1e9)
+    # The lease to which the relay key is bound; None while this node does not relay.
     _lease: LeaseId | None = None
     _extended_at: MonotonicTime = MonotonicTime(-1e9)
     _cut_off: bool = False
 
     @staticmethod
     def now() -> MonotonicTime:
+        """The event loop's clock, in seconds."""
         return MonotonicTime(asyncio.get_running_loop().time())
 
     def answer(self, report: Report) -> bytes | None:
-        """The leader's token and what must stop, or None: the worker must look further."""
+        """Returns the response to a report: the leader's token and the stops that are due.
+
+        Returns None if this node must not relay; the worker then has to try another node.
+        """
         if report.zone != self.settings.zone:
             return None
         now = self.now()
         self._last_report_at = now
         known = self.view.leader
-        mine = self.view.relays.get(self.settings.node)
+        relay = self.view.relays.get(self.settings.node)
         if (
             known is None
-            or mine is None
-            or mine.token != known.token
+            or relay is None
+            or relay.token != known.token
             or not self._cut_off
             or report.token > known.token
             or not self.lease_renewal.allowed(relaying=True)
@@ -91,13 +112,14 @@
         return stops
 
     async def run(self) -> None:
+        """Registers and withdraws this node as a relay as needed, until cancelled."""
         self._reached_at = self.now()
         while True:
             await asyncio.sleep(STEP_S)
             try:
                 await self._step()
             except (*STATE_SERVICE_ERRORS, LeaseExpired) as error:
-                log.debug("relay: %s", error)
+                log.debug("relay not updated: %s; next attempt in 0.5 s", error)
 
     async def _step(self) -> None:
         known = self.view.leader
@@ -115,15 +137,16 @@
             return
         if now - self._last_report_at > RECENT_REPORT_S:
             return
-        mine = self.view.relays.get(self.settings.node)
-        if self._lease is None or mine is None or mine.token != known.token:
+        relay = self.view.relays.get(self.settings.node)
+        if self._lease is None or relay is None or relay.token != known.token:
             await self._register(known.token)
         elif now - self._extended_at > RELAY_LEASE_S / 3:
             self._extended_at = now
             await self.state.extend_lease(self._lease)
-        await self.sync.barrier()  # the proof to feed by
+        await self.sync.barrier()  # obtains the proof by which leases are renewed
 
     async def _register(self, token: Token) -> None:
+        """Writes the relay key, unless the leader key has changed since it was read."""
         known = self.view.leader
         if known is None or known.token != token:
             return
@@ -147,10 +170,18 @@
             self._lease = None
             raise
         if result.ok:
-            log.info("feeding the workers of %s for token %d", self.settings.zone, token)
+            log.info(
+                "relaying for the leader: workers of zone %s are answered with token %d",
+                self.settings.zone,
+                token,
+            )
 
     async def _withdraw(self) -> None:
+        """Revokes the lease of the relay key, which deletes the key."""
         lease, self._lease = self._lease, None
         if lease is not None:
-            log.info("the leader is reached again: its workers are sent to it")
+            log.info(
+                "relaying ends: the leader is reachable, there is none, or this node leads; "
+                "workers are redirected"
+            )
             await self.state.revoke_lease(lease)
--- a/dunehold/coordination/node.py
+++ b/dunehold/coordination/node.py
@@ -1,4 +1,4 @@
-"""A controller: its servers, the election, and what it answers."""
+"""A controller node: servers, request routing, the leader election and the start of a term."""
 
 from __future__ import annotations
 
@@ -53,35 +53,56 @@
 
 log = logging.getLogger(__name__)
 
-STATE_CONNECTIONS, WATCH_CONNECTIONS, CLOUD_CONNECTIONS = 16, 2, 4
+# Maximum number of connections of each client.
+STATE_CONNECTIONS = 16
+WATCH_CONNECTIONS = 2
+CLOUD_CONNECTIONS = 4
+# Maximum number of connections that the servers for peers and for operators hold.
 PEER_SOCKETS = 16
 OPERATOR_SOCKETS = 8
+# Maximum age of the leader's counts of running tasks, which are shown to users.
 RUNNING_COUNTS_MAX_AGE_S = 1.0
-RATE_REFUSAL_COUNT, RATE_REFUSAL_WINDOW_S = (
-    3,
-    10.0,
-)  # refusals of a rate that show that it has fallen
-BAD_REPORT_LOG_INTERVAL_S = 10.0  # between lines of the log on reports that can't be read
-SERVED_LOG_INTERVAL_S = 60.0  # between lines of the log on what is served, and what was late
+# This many refusals by the state service's rate limits within the window show that the limits
+# have been lowered.
+RATE_REFUSAL_COUNT = 3
+RATE_REFUSAL_WINDOW_S = 10.0
+# Minimum time between two log lines about reports that cannot be decoded.
+BAD_REPORT_LOG_INTERVAL_S = 10.0
+# Time between two log summaries of the work done and of late starts.
+SERVED_LOG_INTERVAL_S = 60.0
+# Time for which a node whose leader ended its own term does not stand for election, so that
+# another node can win.
 DEPOSED_ABSTAIN_S = 6.0
-SUCCESSOR_WAIT_S = 2.0  # that others wait for a node of the zone that should lead next
-MAX_TIMEOUT_FACTOR = 16  # of terms in which no worker was heard: leadership must not go round
-RESERVED_SOCKETS = 64  # for the state service, the cloud and peers
+# Time that other nodes wait for a node of the zone that should lead next.
+SUCCESSOR_WAIT_S = 2.0
+# Upper bound of the leader's timeout factor. The factor doubles with each consecutive term in
+# which no worker reported, so that leadership does not go on passing from node to node.
+MAX_TIMEOUT_FACTOR = 16
+# Sockets reserved for the state service, the cloud and peers.
+RESERVED_SOCKETS = 64
+# Lower bounds of the intervals between read barriers and between watch requests.
 MIN_BARRIER_INTERVAL_S = 0.08
 MIN_WATCH_INTERVAL_S = 0.1
-BARRIER_INTERVAL_REQUESTS, WATCH_INTERVAL_REQUESTS = (
-    2.0,
-    3.0,
-)  # a half and a third of a node's requests at most
-USABLE_RATE_SHARE = 0.9  # of the state service's rates; the rest is for bursts that overlap
-# The leader writes most: machines, rentals and the ends of jobs. The others share what is
-# left, for submissions, cancellations and proofs.
-LEADER_WRITE_SHARE, LEADER_REQUEST_SHARE = 0.6, 0.4
-MIN_FLUSH_INTERVAL_S, FLUSH_INTERVAL_WRITES = (
-    0.05,
-    2.0,
-)  # most flushes hold two changes or fewer
-CLOUD_SHARE, CLOUD_BURST_S = 0.8, 1.5
+# The same intervals as multiples of the time that the node's rate allows for one request: read
+# barriers take at most a half of the node's requests and the watch at most a third.
+BARRIER_INTERVAL_REQUESTS = 2.0
+WATCH_INTERVAL_REQUESTS = 3.0
+# Share of the state service's rates that is used. The rest is left for bursts of several nodes
+# that overlap.
+USABLE_RATE_SHARE = 0.9
+# The leader's shares of the usable rates. The leader writes most: machines, rentals and
+# completions of jobs. The other nodes share the rest equally, for submissions, cancellations
+# and proofs of a current view.
+LEADER_WRITE_SHARE = 0.6
+LEADER_REQUEST_SHARE = 0.4
+# Lower bound of the interval between two flushes of the leader's records, and the interval as a
+# multiple of the time that the leader's write rate allows for one change: most flushes hold two
+# changes or fewer.
+MIN_FLUSH_INTERVAL_S = 0.05
+FLUSH_INTERVAL_WRITES = 2.0
+# Share of the cloud's rate limit that is used, and the burst as seconds of that limit.
+CLOUD_SHARE = 0.8
+CLOUD_BURST_S = 1.5
 
 
 def _purpose(request: Request) -> Purpose:
@@ -92,15 +113,26 @@
 
 @dataclass(slots=True)
 class Node:
+    """A controller: answers users, workers, peers and operators, and leads when elected.
+
+    Times of type ``MonotonicTime`` are seconds on the event loop's clock.
+    """
+
     settings: Settings
     connect: Connect = HttpClient
+    # The time of day, in seconds since the epoch.
     wall: Callable[[], float] = time.time
     view: View = field(default_factory=View)
+    # Identifies this process: a leader key may be of an earlier process of the same node.
     incarnation: str = field(default_factory=lambda: secrets.token_hex(8))
+    # The cloud's machine types; None until they have been fetched.
     types: dict[TypeName, MachineType] | None = None
+    # The current term; None while this node is a follower.
     leader: Leader | None = None
+    # Version of the leader key that this node wrote last.
     leader_version: Revision = Revision(0)
     lease: LeaseId | None = None
+    # Until when the leader lease is known to hold, clock drift taken into account.
     lease_until: MonotonicTime = MonotonicTime(-1e9)
     state: StateClient = field(init=False)
     cloud: CloudClient = field(init=False)
@@ -112,15 +144,23 @@
     served: Served = field(init=False)
     operator_api: OperatorApi = field(init=False)
     estimates: RuntimeEstimates = field(default_factory=RuntimeEstimates)
-    _orders_seen: Revision = Revision(0)  # the serial that the leader was told of last
+    # Serial of the maintenance orders of which the leader was last notified.
+    _orders_seen: Revision = Revision(0)
+    # The leader's counts of running tasks and when they were last requested.
     _running_counts: dict[JobId, int] = field(default_factory=dict)
     _running_at: MonotonicTime = MonotonicTime(-1e9)
-    _abstain_until: MonotonicTime = MonotonicTime(-1e9)  # others should lead, if they can
-    _vacant_since: MonotonicTime | None = None  # seen by a node that lets others go first
+    # Until when this node does not stand for election, so that another node can lead.
+    _abstain_until: MonotonicTime = MonotonicTime(-1e9)
+    # Since when a node that defers to the successor's zone has seen that there is no leader.
+    _vacant_since: MonotonicTime | None = None
     _bad_report_logged_at: MonotonicTime = MonotonicTime(-1e9)
+    # Whether the state service's later, lower rates apply.
     _rates_fell: bool = False
+    # Times of the latest refusals by the state service's rate limits.
     _refusals: deque[float] = field(default_factory=lambda: deque(maxlen=RATE_REFUSAL_COUNT))
-    _silent_terms: int = 0  # led in a row without hearing a worker
+    # Number of consecutive terms of this node in which no worker reported.
+    _silent_terms: int = 0
+    # Keeps references to running revocations of leader leases.
     _lease_releases: set[asyncio.Task[None]] = field(default_factory=set)
     _election_wakeup: asyncio.Event = field(default_factory=asyncio.Event)
 
@@ -183,7 +223,7 @@
         )
 
     def _rate_shares(self, leading: bool) -> tuple[float, float]:
-        """This node's part of the state service's requests and changes a second."""
+        """Returns this node's share of the state service's requests and changes per second."""
         settings = self.settings
         requests, writes = LEADER_REQUEST_SHARE, LEADER_WRITE_SHARE
         rps, write_rps = settings.state_rps, settings.state_write_rps
@@ -202,11 +242,16 @@
 
     @property
     def _least_burst(self) -> float:
+        """The minimum burst of the write limiter: the changes in the largest transaction."""
         return max(float(self.settings.txn_ops), self.settings.write_burst)
 
     def _on_rate_refused(self) -> None:
-        """The state service refused a rate. Once may be bursts that met; several times within
-        seconds, its lower limits hold by now, and stay: they are never asked for again."""
+        """Counts a refusal by a rate limit of the state service and lowers the rates if needed.
+
+        A single refusal may come from bursts of several nodes that coincide. Several refusals
+        within seconds show that the later, lower limits of the settings now apply. This node
+        then keeps to them and does not try the higher rates again.
+        """
         now = self.now()
         self._refusals.append(now)
         if (
@@ -215,31 +260,39 @@
             and now - self._refusals[0] < RATE_REFUSAL_WINDOW_S
         ):
             self._rates_fell = True
-            log.info("the state service allows less: its later rates hold from now on")
+            log.info(
+                "state service repeatedly refuses the current rates; "
+                "using those of params.state.next from now on"
+            )
             self._apply_rate_shares(self.leader is not None)
 
     def _apply_rate_shares(self, leading: bool) -> None:
+        """Sets the rate limiters of the state service to this node's share."""
         requests, writes = self._rate_shares(leading)
         self.state.request_limiter.set_rate(requests, max(2.0, requests))
         self.state.write_limiter.set_rate(writes, max(self._least_burst, writes))
 
     @staticmethod
     def now() -> MonotonicTime:
+        """The event loop's clock, in seconds."""
         return MonotonicTime(asyncio.get_running_loop().time())
 
-    # -- life ----------------------------------------------------------------------------
+    # -- lifecycle -----------------------------------------------------------------------
 
     async def run(self) -> None:
+        """Listens for users, workers, peers and operators and runs the node until cancelled."""
         settings = self.settings
         reserved = RESERVED_SOCKETS + int(settings.sockets * DIRECT_SOCKET_SHARE)
-        most = max(16, settings.sockets - reserved)
-        server = HttpServer(self.handle, most, purpose_of=_purpose)
+        max_connections = max(16, settings.sockets - reserved)
+        server = HttpServer(self.handle, max_connections, purpose_of=_purpose)
         await server.start(settings.listen.host, settings.listen.port)
         peer_server = HttpServer(self.handle_peer, PEER_SOCKETS)
         await peer_server.start(settings.peer_listen.host, settings.peer_listen.port)
         if settings.operator.operator_port:
-            door = HttpServer(self.handle_operator, OPERATOR_SOCKETS)
-            await door.start(settings.peer_listen.host, settings.operator.operator_port)
+            operator_server = HttpServer(self.handle_operator, OPERATOR_SOCKETS)
+            await operator_server.start(
+                settings.peer_listen.host, settings.operator.operator_port
+            )
         log.info(
             "node %s listens on %s:%d",
             settings.node,
@@ -249,7 +302,7 @@
         await self.act()
 
     async def act(self) -> None:
-        """Everything but listening."""
+        """Runs the background activities without listening on any address."""
         async with asyncio.TaskGroup() as group:
             group.create_task(self._restart_on_failure(self.sync.watch))
             group.create_task(self._restart_on_failure(self._fetch_types))
@@ -259,7 +312,7 @@
             group.create_task(self._restart_on_failure(self._log_served))
 
     async def _restart_on_failure(self, work) -> None:  # type: ignore[no-untyped-def]
-        """No failure of one activity ends the process."""
+        """Runs an activity and restarts it if it fails, so that the process goes on."""
         while True:
             try:
                 await work()
@@ -267,17 +320,19 @@
             except asyncio.CancelledError:
                 raise
             except Exception:
-                log.exception("%s failed and is begun again", work.__qualname__)
+                log.exception("%s failed; restarting it in 1 s", work.__qualname__)
                 await asyncio.sleep(1.0)
 
     async def _log_served(self) -> None:
         while True:
             await asyncio.sleep(SERVED_LOG_INTERVAL_S)
             if self.leader is not None:
-                log.info("served: %s", self.served.summary_line())
+                log.info("work done: %s", self.served.summary_line())
                 log.info("late starts in this term: %s", self.leader.late_starts.summary())
                 if lost := self.leader.ledger.lost_without_reports:
-                    log.info("lost on machines that only direct calls reach: %d tasks", lost)
+                    log.info(
+                        "attempts lost on machines that only direct calls reached: %d", lost
+                    )
 
     async def _fetch_types(self) -> None:
         while self.types is None:
@@ -286,12 +341,17 @@
                 log.info("machine types: %s", ", ".join(self.types))
                 self._election_wakeup.set()
             except (CloudUnavailable, NoCapacity, NoResponse, BadMessage) as error:
-                log.info("machine types not known yet: %s", error)
+                log.info("machine types are not available: %s; retrying in 1 s", error)
                 await asyncio.sleep(1.0)
 
     # -- requests ------------------------------------------------------------------------
 
     async def handle(self, request: Request) -> Response:
+        """Answers users, workers and health checks.
+
+        The health check and the closing of connections steer clients to other nodes while this
+        node cannot serve them.
+        """
         if request.path == workers.REPORT_PATH and request.method == "POST":
             return self._report(request.body)
         if request.path == users.HEALTH_PATH:
@@ -308,18 +368,19 @@
             or self.connectivity.cut_off_from_state
             or self.connectivity.isolated
         ):
-            # Kept open, the connection would bring its user's next try here as well, and
-            # every try for a job could fail at one node while all others would answer.
+            # On an open connection, the user's next try would come to this node again. All
+            # tries for a job could then fail here while every other node would answer.
             return response._replace(close=True)
         return response
 
     def _report(self, body: bytes) -> Response:
+        """Answers a worker's report as the leader or as a relay, or names the leader."""
         try:
             report = workers.decode_report(body)
         except BadMessage as error:
             if self.now() - self._bad_report_logged_at > BAD_REPORT_LOG_INTERVAL_S:
                 self._bad_report_logged_at = self.now()
-                log.info("report ignored: %s", error)
+                log.info("worker report refused with status 400: %s", error)
             return Response(400, users.encode_error(str(error)))
         self.connectivity.last_report_at = self.now()
         if self.leader is not None:
@@ -332,10 +393,12 @@
         if relayed is not None:
             return Response(200, relayed)
         known = self.view.leader
+        # This node does not lead. If the view names it, the leader key is outdated.
         name = known.node if known is not None and known.node != self.settings.node else None
         return Response(421, workers.encode_redirect(name))
 
     async def handle_peer(self, request: Request) -> Response:
+        """Answers other controllers and the operators' commands on the peer address."""
         if request.path == peers.RUNNING_PATH and self.leader is not None:
             return Response(200, peers.encode_running(self.leader.running_counts()))
         if request.path == peers.PEER_STATUS_PATH:
@@ -357,6 +420,7 @@
         return Response(404)
 
     async def handle_operator(self, request: Request) -> Response:
+        """Answers requests for maintenance orders on the operators' port."""
         return await self.operator_api.handle(request)
 
     def _leaders_client(self) -> Client | None:
@@ -364,7 +428,7 @@
         return None if known is None else self.connectivity.client(known.node)
 
     async def _maintenance_status(self) -> LeaderStatus | None:
-        """The leader's word on the orders, or None where it can't be had now."""
+        """Returns what the leader knows of the maintenance orders; None if unavailable."""
         if self.leader is not None:
             return self.view.applied, self.leader.maintenance.status()
         client = self._leaders_client()
@@ -373,15 +437,19 @@
         try:
             return await peers.get_maintenance(client, PEER_TIMEOUT_S)
         except (NoResponse, BadMessage) as error:
-            log.debug("orders: %s", error)
+            log.debug("no maintenance status from the leader: %s", error)
             return None
 
     def _on_cut_off_from_state(self) -> None:
         if self.leader is not None and self.now() >= self.lease_until:
-            self._step_down("others are served, and may lead by now")
+            self._step_down("cut off from the state service, and another node may lead")
 
     async def _count_running(self, job: JobId) -> int:
-        """Tasks on machines, for display; a second old at most where the leader answers."""
+        """Returns how many of the job's tasks are on machines, for display only.
+
+        The count is at most ``RUNNING_COUNTS_MAX_AGE_S`` old as long as the leader answers. If
+        it does not answer, the last known count is returned, or 0.
+        """
         if self.leader is not None:
             return len(self.leader.ledger.task_zones_by_job.get(job, ()))
         if self.now() - self._running_at > RUNNING_COUNTS_MAX_AGE_S:
@@ -394,12 +462,13 @@
                     else {}
                 )
             except (NoResponse, BadMessage) as error:
-                log.debug("running counts: %s", error)
+                log.debug("no counts of running tasks from the leader: %s", error)
         return self._running_counts.get(job, 0)
 
     # -- election ------------------------------------------------------------------------
 
     def _on_change(self, touched: list[JobId]) -> None:
+        """Handles changes of the view, of which ``touched`` are the jobs that changed."""
         self.served.record_changes(touched)
         known = self.view.leader
         if (
@@ -407,7 +476,7 @@
             and (known is None or known.incarnation != self.incarnation)
             and self.view.applied >= self.leader_version
         ):
-            self._step_down("the leader key is another's or gone")
+            self._step_down("the leader key is gone or belongs to another leader")
         if self.leader is not None:
             self.leader.jobs_changed(touched)
             if self._orders_seen != self.view.orders_serial:
@@ -419,7 +488,10 @@
             self._vacant_since = None
 
     def _vacant(self) -> bool:
-        """Nobody leads, or this node's own earlier life, which is over."""
+        """Returns whether there is no leader.
+
+        A leader key of an earlier process of this node counts as none, as that process is gone.
+        """
         known = self.view.leader
         return self.view.loaded and (
             known is None
@@ -427,38 +499,44 @@
         )
 
     async def _elect(self) -> None:
-        renew = self.settings.operator.leader_renew_s
+        """Renews leadership while this node leads, and stands for election when nobody does."""
+        renew_s = self.settings.operator.leader_renew_s
         while True:
             if self.leader is not None:
                 await self._renew()
-                await asyncio.sleep(renew)
+                await asyncio.sleep(renew_s)
                 continue
             abstains = self.now() < max(self._abstain_until, self._defer_to_successor_until())
             if self.types is not None and self._vacant() and not abstains:
                 try:
                     await self._campaign()
                 except (*STATE_SERVICE_ERRORS, LeaseExpired) as error:
-                    log.info("no leadership yet: %s", error)
+                    log.info("election attempt failed: %s; next attempt in 0.3 s", error)
                     await asyncio.sleep(0.3)
                 continue
             self._election_wakeup.clear()
             try:
-                async with asyncio.timeout(renew * 2):
+                async with asyncio.timeout(renew_s * 2):
                     await self._election_wakeup.wait()
             except TimeoutError:
-                # The watch may be stuck; a vacancy must not go unseen.
+                # The watch may be stuck. Read the state service, so that the lack of a leader
+                # is noticed all the same.
                 try:
                     await self.sync.barrier()
                 except STATE_SERVICE_ERRORS as error:
-                    log.debug("refresh: %s", error)
+                    log.debug("view not refreshed: %s", error)
 
     def _defer_to_successor_until(self) -> MonotonicTime:
-        """A node of another zone should lead next: it is given a moment to stand."""
-        named = self.view.successor
+        """Returns until when this node leaves the election to a node of another zone.
+
+        The last leader may have recorded a zone that should lead next. Nodes of other zones
+        then wait ``SUCCESSOR_WAIT_S`` before they stand. A time in the past means no wait.
+        """
+        preferred = self.view.successor
         if (
-            named is None
-            or named[0] == self.settings.zone
-            or named[1] != self.view.token
+            preferred is None
+            or preferred[0] == self.settings.zone
+            or preferred[1] != self.view.token
             or not self._vacant()
         ):
             return MonotonicTime(-1e9)
@@ -467,6 +545,7 @@
         return MonotonicTime(self._vacant_since + SUCCESSOR_WAIT_S)
 
     async def _campaign(self) -> None:
+        """Tries to take the leader key, bound to a new lease, and begins a term on success."""
         life = Duration(self.settings.operator.leader_lease_s)
         await self.sync.barrier()
         if not self._vacant():
@@ -493,7 +572,7 @@
             result = await self.state.txn(txn, RequestPriority.LEASE)
             won = result.ok
         except NoResponse:
-            won = True  # it may have been applied: what the view says below decides
+            won = True  # it may have been applied: the view after the barrier decides
         await self.sync.barrier(urgent=True)
         known = self.view.leader
         if not won or known is None or known.incarnation != self.incarnation:
@@ -502,12 +581,13 @@
         if known.token != token or self.types is None:
             return
         self.lease = lease
-        # The lease counts from when it was asked for, less what clocks may drift apart.
+        # The lease counts from when it was requested and is shortened by the clock drift.
         self.lease_until = MonotonicTime(sent + life / CLOCK_DRIFT_FACTOR)
         self.leader_version = known.version
         self._begin_term(token)
 
     def _begin_term(self, token: Token) -> None:
+        """Creates and starts the leader of a new term, with a ledger built from the view."""
         assert self.types is not None
         settings = self.settings
         ledger = Ledger(
@@ -565,11 +645,15 @@
         self.leader.start()
 
     def _deposed(self) -> None:
-        """The leader found out by itself that another leads, or should."""
-        self._step_down("told so")
+        """Ends the term on behalf of the leader, which found that another leads or should lead.
+
+        This node then abstains from the election for ``DEPOSED_ABSTAIN_S``.
+        """
+        self._step_down("the leader ended its own term")
         self._abstain_until = MonotonicTime(self.now() + DEPOSED_ABSTAIN_S)
 
     async def _renew(self) -> None:
+        """Extends the leader lease and refreshes the view; steps down if the lease is over."""
         lease = self.lease
         if lease is None:
             return
@@ -578,22 +662,24 @@
             await self.state.extend_lease(lease)
             life = self.settings.operator.leader_lease_s
             self.lease_until = MonotonicTime(sent + life / CLOCK_DRIFT_FACTOR)
-            # The lease alone proves nothing of cancellations: read what is new as well.
+            # The lease does not prove that no cancellation was missed. The latest changes are
+            # therefore read as well.
             await self.sync.barrier(urgent=True)
         except LeaseExpired:
             self._step_down("the lease has ended")
         except STATE_SERVICE_ERRORS as error:
-            log.info("leadership not renewed: %s", error)
+            log.info("leadership not renewed: %s; retrying at the next interval", error)
 
     async def _release_lease(self, lease: LeaseId) -> None:
         with contextlib.suppress(*STATE_SERVICE_ERRORS):
             await self.state.revoke_lease(lease)
 
     def _may_start(self) -> bool:
-        """Nothing is started without proof of still being the leader."""
+        """Returns whether this node provably still leads; nothing is started otherwise."""
         return self.leader is not None and self.now() < self.lease_until
 
     def _step_down(self, reason: str) -> None:
+        """Ends the term and releases the leader lease; does nothing on a follower."""
         leader, self.leader = self.leader, None
         if leader is None:
             return
@@ -605,7 +691,7 @@
         self.lease_until = MonotonicTime(-1e9)
         leader.stop()
         if lease is not None:
-            # Left to run out, the lease would keep all others from leading meanwhile.
+            # Until it expired by itself, the lease would keep all other nodes from leading.
             task = asyncio.get_running_loop().create_task(self._release_lease(lease))
             self._lease_releases.add(task)
             task.add_done_callback(self._lease_releases.discard)
--- a/dunehold/coordination/term/__init__.py
+++ b/dunehold/coordination/term/__init__.py
@@ -1,1 +1,1 @@
-"""One term of leadership: reports, placement, commands."""
+"""One term of leadership: reports, planning, commands to workers and late starts."""
--- a/dunehold/coordination/term/late_starts.py
+++ b/dunehold/coordination/term/late_starts.py
@@ -1,16 +1,19 @@
-"""Why tasks start late: each first start that misses its limit is put down to one cause.
-
-The limit is the class's aim at starting or, within a guarantee, the guarantee's; the time
-counts from the job's acceptance until the task is seen to run, as its users count. The cause is
-the longest part of the wait:
-
-- *leader*: there was none, or it knew nothing of the job yet;
-- *limit*: its team had no room under its limit;
-- *room*: no machine took it, or none was up;
-- *image*: it was being fetched;
-- *command*: all else from the decision to the running task.
-
-Only what this leader decided and saw is counted: nothing is known of a task found running.
+"""Attributes each late first start of a task to one cause.
+
+A first start is late if it misses its limit: the objective for starts of its class or, within a
+guarantee, the stricter of that and the guarantee's objective. The wait is counted as users
+count it, from when the job can start (it is accepted and its dependencies are complete) until
+the task is seen to run. The cause is the longest part of the wait:
+
+- *leader*: there was no leader, or it did not know the job yet;
+- *limit*: the job's team had no room under its limit;
+- *room*: no machine had room for the task, or none was up;
+- *image*: the image had to be fetched: the time from the decision to the running task, if the
+  image was not on the machine;
+- *command*: the same time if the image was on the machine.
+
+Only starts that this leader decided on and saw in time are counted. Nothing is known of the
+wait of a task that was found running.
 """
 
 from __future__ import annotations
@@ -25,6 +28,8 @@
 
 
 class Cause(StrEnum):
+    """The causes of late starts, as described in the module's docstring."""
+
     LEADER = "leader"
     LIMIT = "limit"
     ROOM = "room"
@@ -34,21 +39,26 @@
 
 @dataclass(frozen=True, slots=True)
 class FirstStart:
-    """One first start, all moments on the leader's steady clock; ``limited_s`` in seconds."""
+    """One first start of a task. Times are in seconds on the leader's monotonic clock."""
 
+    # From when the wait counts.
     accepted_at: float
-    known_at: float  # since when this leader could place it
+    # From when this leader could place the task.
+    known_at: float
     planned_at: float
     running_at: float
+    # Duration, in seconds, for which the job's team was at its limit.
     limited_s: float
+    # Whether the image was on the machine when the start was planned.
     cached: bool
 
     @property
     def total_s(self) -> float:
+        """The whole wait."""
         return self.running_at - self.accepted_at
 
     def parts(self) -> dict[Cause, float]:
-        """The seconds put down to each cause; they add up to the whole wait."""
+        """Returns the seconds of the wait by cause; they add up to the whole wait."""
         planned = max(self.accepted_at, self.planned_at)
         leader = min(max(0.0, self.known_at - self.accepted_at), planned - self.accepted_at)
         waiting = planned - self.accepted_at - leader
@@ -63,13 +73,14 @@
         }
 
     def cause(self) -> Cause:
+        """Returns the cause of the longest part of the wait."""
         parts = self.parts()
         return max(parts, key=lambda cause: parts[cause])
 
 
 @dataclass(slots=True)
 class LateStarts:
-    """Counts of one term, by class: first starts with a limit, and the late ones by cause."""
+    """Counts first starts with a limit in one term, by class, and the late ones by cause."""
 
     took_over_at: MonotonicTime
     starts: Counter[str] = field(default_factory=Counter)
@@ -78,7 +89,11 @@
     def record_start(
         self, run: Run, progress: JobProgress, limit_s: float, waited_s: float
     ) -> None:
-        """A task is seen to run, so long after its job was accepted."""
+        """Counts the start of a task that is seen to run, ``waited_s`` after it could start.
+
+        Starts that were not the task's first, or that this leader did not see in time, are
+        ignored.
+        """
         number = run.id.task.number
         if (
             run.running_at is None
@@ -104,10 +119,12 @@
         self.late.setdefault(job_class, Counter())[wait.cause()] += 1
 
     def summary(self) -> str:
-        """For the log: by class, how many of how many were late, and why."""
-        found = []
+        """Returns a text for the log: by class, how many starts were late, and the causes."""
+        lines = []
         for job_class, causes in sorted(self.late.items()):
-            why = ", ".join(f"{cause.value} {number}" for cause, number in causes.most_common())
+            causes_text = ", ".join(
+                f"{cause.value} {number}" for cause, number in causes.most_common()
+            )
             total = sum(causes.values())
-            found.append(f"{job_class} {total} of {self.starts[job_class]}: {why}")
-        return "; ".join(found) or "none"
+            lines.append(f"{job_class} {total} of {self.starts[job_class]}: {causes_text}")
+        return "; ".join(lines) or "none"
--- a/dunehold/coordination/term/leader.py
+++ b/dunehold/coordination/term/leader.py
@@ -1,4 +1,8 @@
-"""One term of leadership: reports, placement, and the time that passes."""
+"""One term of leadership: handles worker reports, plans and sends commands, runs periodic work.
+
+A ``Leader`` exists from the moment a node wins the election until it steps down. It is created
+and stopped by ``dunehold.coordination.node.Node``.
+"""
 
 from __future__ import annotations
 
@@ -51,26 +55,46 @@
 
 log = logging.getLogger(__name__)
 
+# Interval of the periodic work in ``Leader._tick``.
 TICK_S = 0.5
+# Minimum time between two runs of the autoscaler.
 SCALE_INTERVAL_S = 1.0
+# Minimum time between two log lines with fleet totals.
 FLEET_LOG_INTERVAL_S = 10.0
-PREEMPT_S = 0.5
+# Minimum time between two plans that may preempt running tasks.
+PREEMPTION_INTERVAL_S = 0.5
+# Number of report intervals without any report after which the leader of a small fleet checks
+# whether it is cut off from its workers.
 SILENCE_TIMEOUT_REPORTS = 3.0
-# With many machines, some report within any second: silence is told from chance sooner.
-LARGE_FLEET_HOSTS, SILENT_MARGIN_S = 8, 1.0
-LEADER_DISCOVERY_S = 4.0  # a new leader's workers need so long to find it
-STALL_THRESHOLD_S = 1.5  # between two ticks, beyond their interval: the process did not run
-MAX_SILENT_HOST_SHARE = (
-    0.1  # of the fleet: with more unheard of, its size is not known well enough
-)
-MAX_PLANNING_TIME_SHARE = 0.07  # of the time, at most, goes on plans
+# With at least this many machines, some report arrives within any second, so that a shorter
+# silence already cannot be chance: the longest report interval plus SILENT_MARGIN_S.
+LARGE_FLEET_HOSTS = 8
+SILENT_MARGIN_S = 1.0
+# Time that workers need to find a new leader.
+LEADER_DISCOVERY_S = 4.0
+# Delay of a tick, beyond its interval, that shows that the process was not running.
+STALL_THRESHOLD_S = 1.5
+# Share of the fleet from which nothing may have been heard. With more, the usable size of the
+# fleet is not known well enough to scale it.
+MAX_SILENT_HOST_SHARE = 0.1
+# Maximum share of the time that is spent on planning.
+MAX_PLANNING_TIME_SHARE = 0.07
+# Share of the node's sockets that may be used for direct connections to workers.
 DIRECT_SOCKET_SHARE = 0.25
+# Time for which no task of a job is planned after a worker has refused to start one.
 REFUSED_START_BACKOFF_S = 1.0
-UNKNOWN_TOKEN_LOG_INTERVAL_S = 10.0  # between lines on tokens that no leader has taken
+# Minimum time between two warnings about reports with a token that no leader has taken.
+UNKNOWN_TOKEN_LOG_INTERVAL_S = 10.0
 
 
 @dataclass(slots=True)
 class Leader:
+    """The leader during one term, identified by its fencing token.
+
+    Times of type ``MonotonicTime`` are seconds on the event loop's clock. A task of the term
+    that fails, or that finds the leader key lost, ends the term through ``deposed``.
+    """
+
     settings: Settings
     view: View
     ledger: Ledger
@@ -78,17 +102,27 @@
     cloud: CloudClient
     token: Token
     types: dict[TypeName, MachineType]
+    # Whether the leader lease is known to hold. Nothing is started without it.
     may_start: Callable[[], bool]
+    # Whether the proof of a current view is recent enough to renew worker leases.
     may_renew_leases: Callable[[], bool]
+    # When the latest proof of a current view was requested.
     proved_at: Callable[[], MonotonicTime]
+    # Ends the term: another node leads, or should lead, for example after a failure here.
     deposed: Callable[[], None]
+    # Whether no controller has heard from any worker for so long that a takeover cannot help.
     workers_silent: Callable[[], Awaitable[bool]]
     estimates: RuntimeEstimates
     connect: Connect
+    # The time of day, in seconds since the epoch.
     wall: Callable[[], float]
+    # Whether there is a network path to the machine of the named controller.
     reaches: Callable[[NodeId], Awaitable[bool]]
+    # By team: jobs completed within their objectives, and completed jobs that had one.
     in_time: Callable[[], dict[Team, tuple[int, int]]]
-    timeout_factor: float = 1.0  # times the usual, after terms in which no worker was heard
+    # Multiplies the silence and discovery timeouts. It is above 1 after consecutive terms in
+    # which no worker reported.
+    timeout_factor: float = 1.0
     progress: dict[JobId, JobProgress] = field(default_factory=dict)
     previous_reservations: list[Reservation] = field(default_factory=list)
     health: Health = field(init=False)
@@ -99,18 +133,26 @@
     zones: ZoneMonitor = field(init=False)
     late_starts: LateStarts = field(init=False)
     maintenance: MaintenanceController = field(init=False)
+    # Whether anything that planning depends on may have changed since the last plan.
     _dirty: bool = True
     _planned_at: MonotonicTime = MonotonicTime(-1e9)
+    # Minimum time from the start of one plan to the start of the next.
     _plan_gap_s: float = 0.0
     _preempted_at: MonotonicTime = MonotonicTime(-1e9)
     _plan_timer: asyncio.TimerHandle | None = None
     _tasks: set[asyncio.Task[Any]] = field(default_factory=set)
+    # Whether it has been logged that all machines are reconciled.
     _reported_known: bool = False
-    heard_any_worker: bool = False  # any worker, in this term
+    # Whether any worker has reported in this term.
+    heard_any_worker: bool = False
     _handing_over: bool = False
-    _last_report_at: MonotonicTime = MonotonicTime(math.inf)  # when any worker came last
-    # Since when it could hear its workers without a break. Who stood still, or answered
-    # nobody for want of proof, must not take its own silence for that of the machines.
+    # When the latest report arrived, or a later time from which silence is counted anew. In a
+    # term that starts without machines on record it is infinite until the first report, which
+    # disables the silence timeout.
+    _last_report_at: MonotonicTime = MonotonicTime(math.inf)
+    # Since when this node could receive reports without a break. A node that stalled, or that
+    # answered no worker because it had no recent proof, must not mistake the silence that it
+    # caused itself for silence of the machines.
     receiving_since: MonotonicTime = MonotonicTime(0.0)
     _stalled_at: MonotonicTime = MonotonicTime(-1e9)
     _unknown_token_logged_at: MonotonicTime = MonotonicTime(-1e9)
@@ -183,9 +225,10 @@
         self.snapshot_builder.protected_teams = self.maintenance.protected_teams
         self.snapshot_builder.priority_inheritance.on_change = self._dependents_changed
 
-    # -- life --------------------------------------------------------------------------
+    # -- lifecycle ---------------------------------------------------------------------
 
     def start(self) -> None:
+        """Restores the previous leader's state from the view and starts the term's tasks."""
         now = self.receiving_since = self.now()
         if self.ledger.hosts:
             self._last_report_at = MonotonicTime(now + LEADER_DISCOVERY_S * self.timeout_factor)
@@ -203,6 +246,7 @@
         self.spawn(self.delivery.probe_all())
 
     def stop(self) -> None:
+        """Cancels the tasks of the term and closes the connections to workers."""
         for task in self._tasks:
             task.cancel()
         if self._plan_timer is not None:
@@ -210,6 +254,7 @@
         self.delivery.close()
 
     def spawn(self, work: Coroutine[Any, Any, None]) -> None:
+        """Runs ``work`` as a task of this term; an exception that it raises ends the term."""
         task = asyncio.create_task(self._guarded(work))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
@@ -220,19 +265,21 @@
         except asyncio.CancelledError:
             raise
         except LeadershipLost:
-            log.info("token %d: leader key lost", self.token)
+            log.info("token %d: leader key is gone or was replaced; stepping down", self.token)
             self.deposed()
         except Exception:
-            log.exception("token %d: a leader's task failed", self.token)
+            log.exception("token %d: a task of the leader failed; stepping down", self.token)
             self.deposed()
 
     @staticmethod
     def now() -> MonotonicTime:
+        """The event loop's clock, in seconds."""
         return MonotonicTime(asyncio.get_running_loop().time())
 
     # -- jobs --------------------------------------------------------------------------
 
     def jobs_changed(self, touched: list[JobId]) -> None:
+        """Applies changes of job records: tracks new jobs, drops ended ones, and replans."""
         for job in touched:
             record = self.view.jobs.get(job)
             if record is None:
@@ -251,7 +298,7 @@
             if record.phase is JobPhase.CANCELLED:
                 self._stop_all_attempts(job)
             if self.progress.pop(job, None) is not None:
-                log.info("job %s is %s", job, record.phase.value)
+                log.info("job %s ended: %s", job, record.phase.value)
                 self.ledger.reported_done.pop(job, None)
                 self.health.forget_job(job)
                 self.maintenance.disruptions.job_ended(job)
@@ -260,39 +307,53 @@
             self.request_scheduling()
 
     def _stop_all_attempts(self, job: JobId) -> None:
-        """At once, and not with the next report: a start still under way would begin a task
-        that its user was told will not start."""
+        """Stops all attempts of a cancelled job by direct calls, ahead of the next reports.
+
+        A start that is still in flight could otherwise begin a task after the user was told
+        that the job is cancelled and will not start.
+        """
         for task in list(self.ledger.task_zones_by_job.get(job, ())):
             for run in list(self.ledger.runs_by_task.get(task, ())):
                 self._stop_and_send(run, Duration(0.0))
 
     def orders_changed(self) -> None:
+        """Applies changes of maintenance orders in the view and requests a plan."""
         self.maintenance.orders_changed()
         self.request_scheduling()
 
     def _dependents_changed(self, job: JobId) -> None:
-        """Another job came, or went, that needs it: its rank, its aims, or both, are others."""
+        """Updates a job whose inherited priority or deadline has changed.
+
+        Called when a job that depends on it, directly or through others, is added or removed.
+        """
         record, progress = self.view.active.get(job), self.progress.get(job)
         if record is None or progress is None:
             return
         progress.completion_targets_s = self.snapshot_builder.completion_targets_s(record)
         for task in self.ledger.task_zones_by_job.get(job, ()):
             for run in self.ledger.runs_by_task.get(task, ()):
-                self.ledger.hosts[run.host].version += 1  # pictured with its rank
+                self.ledger.hosts[run.host].version += 1  # its cached state holds the priority
         self.request_scheduling()
 
     def _track_job(self, job: JobId) -> None:
+        """Lets an active job be planned, unless it still waits for its dependencies."""
         record = self.view.active[job]
         if record.spec is not None and not self.view.waits_for_dependencies(job):
             self.progress[job] = self.snapshot_builder.create_progress(record)
 
     def running_counts(self) -> dict[JobId, int]:
+        """Returns, by job, how many tasks occupy a machine, as far as the ledger knows."""
         return {job: len(tasks) for job, tasks in self.ledger.task_zones_by_job.items()}
 
     # -- reports -----------------------------------------------------------------------
 
     def handle_report(self, report: Report) -> bytes | None:
-        """The response's body, or None when this node must not answer for the leader."""
+        """Handles a worker's report and returns the body of the response.
+
+        Returns None if this node must not answer as the leader: the report is outdated, its
+        machine was deleted, or there is no recent proof of a current view. Steps down if the
+        report shows that a later leader exists.
+        """
         now = self.now()
         if report.token > self.token:
             self._handle_higher_token(report.host, report.token)
@@ -301,9 +362,9 @@
             return None
         host = self.ledger.hosts.get(report.host)
         if host is not None and (report.session, report.sequence) <= host.newest_report:
-            # A worker has one report in flight: it gave this one up before it sent a newer.
-            # Guards against copies that keep a lease on the books which nobody renewed, and
-            # that pass for a worker who reaches this node.
+            # A worker has one report in flight at a time, so it gave up on this one before it
+            # sent a newer one. A delayed copy must not extend a lease in the ledger that the
+            # worker has not renewed, nor count as a sign that the worker reaches this node.
             return None
         self._last_report_at, self.heard_any_worker = now, True
         if not self.may_renew_leases():
@@ -315,12 +376,12 @@
             host.address = report.address
             self.delivery.drop(host.id)
         if report.session <= host.expired_session or report.session < host.session:
-            return None  # held up on its way: its worker no longer waits for an answer
+            return None  # the report was delayed: its worker no longer waits for a response
         outcome = self.ledger.ingest(report, now)
         host.lease_renewed_at = now
         if not host.recorded and not host.fenced and not host.deleting:
-            # On record before anything can be started on it, so that a next leader knows of
-            # every machine that may hold tasks.
+            # The machine must be on record before anything is started on it, so that the next
+            # leader knows every machine that may hold tasks.
             self.recorder.record_host(host.id)
         commands: list[Command] = []
         if outcome.accepted:
@@ -333,26 +394,44 @@
         return workers.encode_reply(self.token, commands)
 
     def _handle_higher_token(self, host: HostId, token: Token) -> None:
-        """A token above ours is a later leader's, and the first word of it where the state
-        service can't be reached. While our lease is known to hold there is none: a report that
-        says so is at fault, and must not end a term."""
+        """Steps down if a worker has seen a higher token while the leader lease may be over.
+
+        A higher token belongs to a later leader. Where the state service cannot be reached,
+        such a report is the first sign of that leader. While our leader lease is known to
+        hold, there is no later leader: the report is faulty and must not end the term.
+        """
         if not self.may_start():
-            log.info("host %s has seen token %d, above %d", host, token, self.token)
+            log.info(
+                "host %s has seen token %d, above ours (%d); stepping down",
+                host,
+                token,
+                self.token,
+            )
             self.deposed()
         elif self.now() - self._unknown_token_logged_at > UNKNOWN_TOKEN_LOG_INTERVAL_S:
             self._unknown_token_logged_at = self.now()
-            log.warning("host %s has token %d, which no leader has taken", host, token)
+            log.warning(
+                "report of host %s ignored: it has token %d, which no leader has taken",
+                host,
+                token,
+            )
 
     def _add_unknown_host(self, report: Report) -> Host:
-        log.info("host %s reports: %s in %s", report.host, report.type, report.zone)
+        log.info(
+            "host %s added on its first report: type %s, zone %s",
+            report.host,
+            report.type,
+            report.zone,
+        )
         return self.ledger.add_host(
             report.host, report.type, report.zone, report.spot, report.address, self.now()
         )
 
     def _apply_outcome(self, host: Host, outcome: ReportOutcome) -> None:
         for run in outcome.adopted:
-            # Taken for waiting until its machine reported it: planned again and again, it
-            # would be refused each time and keep its room from everybody else.
+            # The task counted as waiting until its machine reported it. If it stayed in the
+            # waiting set, plans would assign it room that no other task could use, and the
+            # ledger would refuse its start each time.
             progress = self.progress.get(run.id.task.job)
             if progress is not None:
                 progress.waiting.discard(run.id.task.number)
@@ -365,33 +444,42 @@
             self._dirty = True
 
     def _record_running(self, run: Run) -> None:
+        """Records that an attempt is first seen to run, and whether it started late."""
         job = run.id.task.job
         self.maintenance.disruptions.task_restored(run.id.task)
         progress, record = self.progress.get(job), self.view.active.get(job)
         if progress is None or record is None:
             return
-        limit = progress.start_target_s
+        limit_s = progress.start_target_s
         if (
             self.snapshot_builder.guaranteed_jobs is not None
             and job in self.snapshot_builder.guaranteed_jobs
         ):
-            limit = min(limit, self.snapshot_builder.guarantee_target_s)
-        if limit < UNBOUNDED:
+            limit_s = min(limit_s, self.snapshot_builder.guarantee_target_s)
+        if limit_s < UNBOUNDED:
             self.late_starts.record_start(
-                run, progress, limit, self.wall() - record.eligible_at
+                run, progress, limit_s, self.wall() - record.eligible_at
             )
 
     def _handle_lost(self, runs: list[Run]) -> None:
+        """Requeues tasks whose attempts are proved gone.
+
+        Requeues also the tasks that an earlier leader may have started and that, as is known
+        by now, are on no machine.
+        """
         self.maintenance.record_lost(runs, self.now())
         for run in runs:
-            log.info("attempt %s on %s is gone", run.id, run.host)
+            log.info("attempt %s on host %s is lost", run.id, run.host)
             self._requeue(run.id.task)
         for task in self.ledger.take_released():
             self._requeue(task)
 
-    def _evacuate(self, host: Host, taken_at: MonotonicTime, now: MonotonicTime) -> None:
-        """Before the cloud takes the machine, stop what can't end by then, to begin it anew
-        elsewhere at once: later it would have to be proved gone first, a lease later."""
+    def _evacuate(self, host: Host, reclaim_at: MonotonicTime, now: MonotonicTime) -> None:
+        """Stops the tasks on a spot machine that cannot end before the cloud reclaims it.
+
+        They can then be started elsewhere as soon as they have stopped. Without the stop, they
+        would first have to be proved gone, which takes a worker lease longer.
+        """
         for run in list(host.runs.values()):
             record = self.view.active.get(run.id.task.job)
             if not run.occupies or run.stop_grace_s is not None or record is None:
@@ -399,25 +487,31 @@
             spec = record.spec
             if spec is None:
                 continue
-            ran = run.ran_s(now)
-            if now + self.estimates.remaining_s(spec, ran) <= taken_at and not run.service:
+            elapsed_s = run.ran_s(now)
+            if (
+                now + self.estimates.remaining_s(spec, elapsed_s) <= reclaim_at
+                and not run.service
+            ):
                 continue
-            saves = spec.checkpoint_s > 0 and now + spec.save_s < taken_at
-            log.info("stop %s on %s: the machine is taken back", run.id, host.id)
+            can_save = spec.checkpoint_s > 0 and now + spec.save_s < reclaim_at
+            log.info("stopping %s on host %s: the cloud reclaims the machine", run.id, host.id)
             self.maintenance.record_lost([run], now)
-            self._stop(run, spec.save_s if saves else Duration(0.0))
+            self._stop(run, spec.save_s if can_save else Duration(0.0))
 
     def _check_known(self) -> None:
         if not self._reported_known and self.ledger.all_reconciled():
             self._reported_known = True
-            log.info("token %d: every machine has answered or is fenced", self.token)
+            log.info(
+                "token %d: every machine has answered, is fenced or is deleted", self.token
+            )
             self.request_scheduling()
 
     def _handle_exit(self, host: Host, exit_: AttemptExit) -> None:
+        """Evaluates an exited attempt: completion, host and job health, requeueing."""
         run = exit_.run
         job = run.id.task.job
         progress = self.progress.get(job)
-        log.info("attempt %s on %s exited: %s", run.id, host.id, exit_.exit_reason.value)
+        log.info("attempt %s on host %s exited: %s", run.id, host.id, exit_.exit_reason.value)
         if exit_.exit_reason is ExitReason.DONE:
             self.maintenance.disruptions.task_restored(run.id.task)
             if progress is not None:
@@ -428,10 +522,10 @@
                     self.estimates.record_run(progress.spec, run.duration_s)
                     self.quarantine.record_duration(host, progress, run.duration_s)
             if not run.service:
-                whole = progress is None or not (
+                job_finished = progress is None or not (
                     progress.waiting or job in self.ledger.task_zones_by_job
                 )
-                self.recorder.record_job(job, whole)
+                self.recorder.record_job(job, job_finished)
                 return
         elif exit_.exit_reason is ExitReason.ERROR and progress is not None:
             self.quarantine.record_failure(host, job, self.now())
@@ -443,6 +537,7 @@
         self._requeue(run.id.task)
 
     def _requeue(self, task: TaskId) -> None:
+        """Lets a task wait for a start unless it is not needed or may be on a machine."""
         record = self.view.active.get(task.job)
         progress = self.progress.get(task.job)
         if record is None or progress is None or task in self.ledger.runs_by_task:
@@ -453,12 +548,13 @@
             progress.waiting.add(task.number)
             self._dirty = True
 
-    # -- placement ---------------------------------------------------------------------
+    # -- planning ----------------------------------------------------------------------
 
     def _mark_dirty(self) -> None:
         self._dirty = True
 
     def request_scheduling(self) -> None:
+        """Schedules a plan for the earliest time that the gap between plans allows."""
         self._dirty = True
         if self._plan_timer is None:
             wait = self._planned_at + self._plan_gap_s - self.now()
@@ -470,13 +566,17 @@
         self.schedule(due=True)
 
     def schedule(self, due: bool = False) -> None:
-        """Place what waits, and hand the commands out."""
+        """Plans and applies starts and stops if anything has changed.
+
+        Does nothing without a valid leader lease. Unless ``due``, a plan that would come too
+        soon after the last one is postponed. Exceptions are logged and not raised.
+        """
         try:
             self._schedule(due)
         except Exception:
-            # A job that placement can't cope with must not take leadership along: the
-            # next leader would meet the same job, and no worker would be heard any more.
-            log.exception("placement failed")
+            # A job that planning cannot handle must not end the term: each next leader would
+            # fail on the same job, and no worker's reports would be handled any more.
+            log.exception("planning failed; next attempt at the next tick")
 
     def _schedule(self, due: bool) -> None:
         now = self.now()
@@ -489,16 +589,17 @@
         self._planned_at = now
         snapshot = self.snapshot_builder.snapshot(self.progress, now, WallTime(self.wall()))
         snapshot.previous_reservations = self.previous_reservations
-        preempting = now - self._preempted_at >= PREEMPT_S
+        preempting = now - self._preempted_at >= PREEMPTION_INTERVAL_S
         if preempting:
             self._preempted_at = now
         decided = plan(snapshot, self._policy(preempting))
         self.previous_reservations = decided.reservations
         self._apply_plan(decided, now)
-        # Plans cost more the more there is to place; reports must be answered all the same.
-        spent = self.now() - now
+        # Planning takes longer the more tasks wait. The gap between plans grows with it, so
+        # that reports are still answered in time.
+        planning_s = self.now() - now
         self._plan_gap_s = max(
-            self.settings.operator.schedule_interval_s, spent / MAX_PLANNING_TIME_SHARE
+            self.settings.operator.schedule_interval_s, planning_s / MAX_PLANNING_TIME_SHARE
         )
 
     def _policy(self, preempting: bool) -> Policy:
@@ -513,6 +614,7 @@
         )
 
     def _apply_plan(self, decided: Plan, now: MonotonicTime) -> None:
+        """Applies a plan to the ledger; starts are sent once they are in the durable log."""
         self._stop_planned(decided.stops, now)
         for attempt in decided.promotions:
             for run in self.ledger.runs_by_task.get(attempt.task, ()):
@@ -525,9 +627,11 @@
             progress = self.progress.get(start.task.job)
             if record is None or host is None or progress is None:
                 continue
-            made = self.ledger.plan_start(record, start.task, host, start.tier, now)
-            if isinstance(made, str):
-                log.debug("start of %s on %s refused: %s", start.task, host.id, made)
+            planned = self.ledger.plan_start(record, start.task, host, start.tier, now)
+            if isinstance(planned, str):
+                log.debug(
+                    "start of task %s on host %s refused: %s", start.task, host.id, planned
+                )
                 if start.task in self.ledger.runs_by_task or self.ledger.is_done(
                     record, start.task.number
                 ):
@@ -535,16 +639,17 @@
                 continue
             progress.waiting.discard(start.task.number)
             log.info(
-                "start %s on %s, token %d, %s",
-                made.id,
+                "start of %s on host %s planned, token %d, tier %s",
+                planned.id,
                 host.id,
                 self.token,
                 start.tier.name.lower(),
             )
-            self.recorder.log_start(made)
+            self.recorder.log_start(planned)
 
     def _stop_planned(self, stops: list[Stop], now: MonotonicTime) -> None:
-        wanted = []
+        """Stops the attempts that a plan names, within the disruption budgets if they apply."""
+        wanted_stops = []
         for stop in stops:
             host = self.ledger.hosts.get(stop.host)
             run = host.runs.get(stop.attempt) if host is not None else None
@@ -553,15 +658,16 @@
             record = self.view.jobs.get(run.id.task.job)
             spec = record.spec if record is not None else None
             grace = spec.save_s if stop.save and spec is not None else Duration(0.0)
-            wanted.append((run, grace, stop.reason))
+            wanted_stops.append((run, grace, stop.reason))
         if self.maintenance.budgets_bind_scheduler:
-            self.maintenance.stop_within_budgets(wanted, now)
+            self.maintenance.stop_within_budgets(wanted_stops, now)
             return
-        for run, grace_s, reason in wanted:
-            log.info("stop %s on %s: %s", run.id, run.host, reason)
+        for run, grace_s, reason in wanted_stops:
+            log.info("stopping %s on host %s: %s", run.id, run.host, reason)
             self._stop_and_send(run, grace_s)
 
     def _stop_and_send(self, run: Run, grace: Duration) -> None:
+        """Stops an attempt by a direct call, without waiting for the worker's next report."""
         self._stop(run, grace)
         self.delivery.send_urgent(run.host)
 
@@ -569,13 +675,15 @@
         self.ledger.stop(run, grace)
         host = self.ledger.hosts.get(run.host)
         if host is None or run.id not in host.runs:
-            self._requeue(run.id.task)  # it was never sent
+            self._requeue(run.id.task)  # its start was never sent and is withdrawn
 
     def starts_logged(self, hosts: Iterable[HostId]) -> None:
+        """Sends the starts on these hosts, which are in the durable start log by now."""
         for host_id in hosts:
             self.delivery.send_urgent(host_id)
 
     def _direct_answer(self, host: Host, report: Report, starts: list[AttemptId]) -> None:
+        """Handles the report in a worker's answer to a direct call with these starts."""
         if self.ledger.hosts.get(host.id) is not host or report.host != host.id:
             return
         self.ledger.on_direct_response(host, starts)
@@ -593,7 +701,7 @@
         self.delivery.drop(host)
         self.health.forget_host(host)
 
-    # -- time ----------------------------------------------------------------------------
+    # -- periodic work -------------------------------------------------------------------
 
     def _waiting_cpus(self) -> float:
         return sum(len(p.waiting) * p.spec.need.cpus for p in self.progress.values())
@@ -602,7 +710,8 @@
         hosts = [h for h in self.ledger.hosts.values() if not h.fenced]
         up = [h for h in hosts if h.session_known]
         log.info(
-            "fleet: %d of %d machines up, %g cpus, %g used, %g waited for, %d jobs",
+            "fleet: %d of %d machines up; CPUs: %g in total, %g used, "
+            "%g requested by waiting tasks; %d jobs",
             len(up),
             len(hosts),
             sum(h.capacity.cpus for h in up),
@@ -612,6 +721,7 @@
         )
 
     async def _tick(self) -> None:
+        """Runs the periodic work of the term every ``TICK_S``, until the term ends."""
         scaled_at = logged_at = 0.0
         ticked_at = self.now()
         while True:
@@ -621,20 +731,26 @@
             ticked_at = now
             if now - self._last_report_at > self._silence_timeout_s():
                 if not await self._fleet_silent():
-                    # All were here and all are silent at once: it is this node that is cut
-                    # off from them, while its lease would keep every other from leading.
-                    log.info("token %d: no worker is heard any more", self.token)
+                    # All workers fell silent at once, though another controller may hear
+                    # them. So this node is the one that is cut off, and its leader lease would
+                    # keep all other nodes from leading.
+                    log.info(
+                        "token %d: no worker reports to this node any more; stepping down",
+                        self.token,
+                    )
                     self.deposed()
                     return
                 now = self.now()
             self.ledger.update_relays(now)
-            if self.may_start():  # else it may be this node that is cut off
+            if self.may_start():  # without the lease, this node may be the one cut off
                 for zone in self.zones.evaluate(now, self.receiving_since):
                     self.snapshot_builder.invalidate_zone(zone)
-                larger = self.zones.preferred_leader_zone(now) if self.zones.any_lost else None
-                if larger is not None and not self._handing_over:
+                next_zone = (
+                    self.zones.preferred_leader_zone(now) if self.zones.any_lost else None
+                )
+                if next_zone is not None and not self._handing_over:
                     self._handing_over = True
-                    self.spawn(self._hand_over_to(larger))
+                    self.spawn(self._hand_over_to(next_zone))
             self._handle_lost(self.ledger.expire_leases(min(now, self.proved_at())))
             self._check_known()
             self.maintenance.update(now)
@@ -660,51 +776,78 @@
                 self._log_fleet()
 
     async def _hand_over_to(self, zone: Zone) -> None:
-        """Most machines are beyond a partition, and work on there: a node there should lead.
+        """Records that a node of ``zone`` should lead next, and steps down.
 
-        Nothing is given up that a takeover would not give up: the next leader rebuilds from
-        reports, and what runs on this side is fed by a follower as it was on the other.
+        Used when most machines are beyond a partition and keep working there. Nothing is lost
+        that another takeover would not lose: the next leader rebuilds its state from reports,
+        and a relay on this side renews the leases of the workers here, as one on the other
+        side did until now.
         """
-        log.info("token %d: most machines are in %s, which should lead", self.token, zone)
+        log.info(
+            "token %d: most machines are in zone %s; stepping down so that a node there leads",
+            self.token,
+            zone,
+        )
         await self.recorder.record_successor(zone)
         self.deposed()
 
     def _note_limits(self) -> None:
+        """Counts, for each waiting job, the time during which its team is at its limit."""
         for progress in self.progress.values():
             if progress.waiting and not self.ledger.team_allows(progress.spec):
                 progress.at_team_limit_s += TICK_S
 
     async def _fleet_silent(self) -> bool:
-        """Nobody hears any machine: giving way would only pass that on.
+        """Returns whether no controller has heard from any worker; if so, the term goes on.
 
-        Guards against leadership that goes round while the whole fleet is lost. What may run
-        on the silent machines stays on the books; they are only not counted on for new work.
+        Stepping down would not help then: leadership would pass from node to node for as long
+        as the whole fleet is lost. What may run on the silent machines stays in the ledger.
+        The machines only stop counting as capacity for new work.
         """
         if not await self.workers_silent():
             return False
         now = self._last_report_at = self.now()
-        log.info("token %d: no controller hears a machine: others are rented", self.token)
+        log.info(
+            "token %d: no controller hears from any machine; renting others as needed",
+            self.token,
+        )
         self.fleet.all_silent_at = now
         return True
 
     def _detect_stall(self, now: MonotonicTime, late_s: float) -> None:
-        """Whatever was silent meanwhile, this node was too."""
-        stood_still = late_s > STALL_THRESHOLD_S
-        if stood_still:
-            log.info("token %d: stood still for %.1f s", self.token, late_s)
+        """Restarts the timeouts of silent machines after a stall or without a recent proof.
+
+        Silence of machines and zones in that time says nothing, as this node answered nobody.
+        A stall also restarts the leader's own silence timeout. ``late_s`` is the delay of the
+        current tick.
+        """
+        stalled = late_s > STALL_THRESHOLD_S
+        if stalled:
+            log.info(
+                "token %d: process did not run for %.1f s; restarting the silence timeouts",
+                self.token,
+                late_s,
+            )
             self._last_report_at = max(self._last_report_at, now)
-        if stood_still or not self.may_renew_leases():
+        if stalled or not self.may_renew_leases():
             self.receiving_since = self._stalled_at = now
 
     def _silence_timeout_s(self) -> float:
-        """Reports come every ``report_s``, give or take a quarter."""
+        """Returns for how long no report may arrive before a loss of connection is assumed.
+
+        Each worker reports every ``report_s``, give or take a quarter.
+        """
         report_s = self.settings.report_s
         if len(self.ledger.hosts) >= LARGE_FLEET_HOSTS:
             return (1.25 * report_s + SILENT_MARGIN_S) * self.timeout_factor
         return SILENCE_TIMEOUT_REPORTS * report_s * self.timeout_factor
 
     def _fleet_size_known(self, now: MonotonicTime) -> bool:
-        """Its size is not judged by a leader that has yet to hear from its machines."""
+        """Returns whether the leader has heard enough of the fleet to scale it.
+
+        Long enough after a takeover or a stall, machines that are still silent stop counting
+        as capacity, and the fleet is scaled without them.
+        """
         if (
             not self.may_start()
             or now - self._stalled_at < self.snapshot_builder.report_timeout_s
@@ -720,12 +863,17 @@
             or now - self.receiving_since < self._discovery_timeout_s()
         ):
             return False
-        # Guards against a part of the fleet that was lost along with the leader before: no
-        # work is placed on it, and none was rented for until the cloud's list lacked it.
-        log.info("token %d: %d machines not heard: not counted on", self.token, len(unknown))
+        # Part of the fleet may have been lost together with the previous leader. No work can be
+        # placed on these machines. If they went on counting as capacity, replacements would be
+        # rented only once the cloud's list of machines lacks them.
+        log.info(
+            "token %d: %d machines have not reported; they do not count as capacity until then",
+            self.token,
+            len(unknown),
+        )
         self.fleet.all_silent_at = now
         return True
 
     def _discovery_timeout_s(self) -> float:
-        """So long after a takeover all workers that can come have come."""
+        """Returns the time, after a takeover, within which each worker that can reports."""
         return LEADER_DISCOVERY_S * self.timeout_factor + self.snapshot_builder.report_timeout_s
