--- a/deploy/upkeep.sexp
+++ b/deploy/upkeep.sexp
@@ -1,14 +1,14 @@
-; Operators' settings with the operators' port and budgets of disruption switched on:
+; Operators' settings that enable the operators' port and disruption budgets:
 ; python3 run.py --config settings.toml --operator deploy/upkeep.sexp
-; What is not named here is as in operator.sexp.
+; Settings that are not named here have the defaults listed in operator.sexp.
 (dunehold
-  (operator-port 8082)        ; beside peer_bind; 0: no orders are taken
-  (disruption                 ; what may be stopped or moved by choice at one time
+  (operator-port 8082)        ; on the host of peer_bind; 0: orders are not accepted
+  (disruption                 ; how much may be stopped or moved by choice at one time
     (default
-      (tasks "10%")           ; of a team's tasks on machines; a number counts tasks
-      (cpus "10%")            ; of all CPUs that it has on machines
-      (replicas 1)            ; of each service
-      (least-up "50%")        ; of each service's replicas stay up
-      (window-s 60))          ; a disruption counts so long at least, and until the task runs
+      (tasks "10%")           ; share of a team's tasks on machines; a plain number is a count
+      (cpus "10%")            ; share of the CPUs that a team uses on machines
+      (replicas 1)            ; replicas of each service
+      (least-up "50%")        ; share of each service's replicas that stays up
+      (window-s 60))          ; a disruption counts at least this long, and until its task runs
     ; (team "NAME" (cpus 40) (tasks 8))
-    (bind-all 0)))            ; 1: moves and preemption of the scheduler keep to them as well
+    (bind-all 0)))            ; 1: the scheduler's moves and preemption also keep to the budgets
--- a/dunehold/budgets.py
+++ b/dunehold/budgets.py
@@ -1,7 +1,8 @@
-"""Budgets of disruption: how much of a team's work may be stopped or moved by choice.
+"""Disruption budgets: how much of a team's work may be stopped or moved by choice.
 
-An amount is a number or a share of what there is just now. A budget bounds what is disrupted at
-one time: a task counts from its stop until it runs again, and for the window at least.
+An amount is a number, or a share of what the team has at the moment. A budget bounds what is
+disrupted at one time: a task counts from its stop until it runs again, and at least for the
+budget's window.
 """
 
 from __future__ import annotations
@@ -16,13 +17,17 @@
 
 @dataclass(frozen=True, slots=True)
 class Amount:
-    """``number`` of something, or ``share`` of the whole, where one is set."""
+    """An absolute ``number`` or, if ``share`` is set, that share (0 to 1) of a whole."""
 
     number: float = 0.0
     share: float | None = None
 
     def of(self, whole: float) -> float:
-        """The amount, in the unit of ``whole``; a share is rounded down by who counts."""
+        """Returns the amount in the unit of ``whole``.
+
+        The result for a share is not rounded; callers that count compare whole numbers with it,
+        which rounds it down.
+        """
         return self.number if self.share is None else self.share * whole
 
     def __str__(self) -> str:
@@ -34,11 +39,11 @@
     """What may be disrupted of one team at one time, by choice.
 
     Attributes:
-        tasks: of its arrays and gangs, of those that it has on machines.
-        cpus: of all its work, of what it has on machines.
-        replicas: of each service, of those that are wanted.
-        least_up: replicas of each service that stay up, of those that are wanted.
-        window_s: how long a disruption counts at least, seconds.
+        tasks: tasks of arrays and gangs; a share is of the team's tasks on machines.
+        cpus: CPUs of all its work; a share is of the team's CPUs in use on machines.
+        replicas: replicas of each service; a share is of the wanted replicas.
+        least_up: replicas of each service that must stay up; a share is of the wanted replicas.
+        window_s: minimum number of seconds for which a disruption counts.
     """
 
     tasks: Amount = Amount(share=0.1)
@@ -50,13 +55,20 @@
 
 @dataclass(frozen=True, slots=True)
 class DisruptionBudgets:
-    """Each team's budget; ``bind_all``: the scheduler's own doings keep to them as well."""
+    """The budgets of all teams.
+
+    Attributes:
+        default: the budget of teams that have none of their own.
+        teams: the budgets of single teams.
+        bind_all: whether moves and preemption by the scheduler also keep to the budgets.
+    """
 
     default: DisruptionBudget = DisruptionBudget()
     teams: Mapping[Team, DisruptionBudget] = field(default_factory=dict)
     bind_all: bool = False
 
     def of(self, team: Team) -> DisruptionBudget:
+        """Returns the team's budget, or the default."""
         return self.teams.get(team, self.default)
 
 
@@ -64,15 +76,19 @@
 
 
 def read(form: Any) -> DisruptionBudgets:
-    """``((default (tasks "10%") ...) (team "blue" (cpus 40) ...) (bind-all 1))``.
+    """Decodes the ``disruption`` entry of the operators' settings.
+
+    The form is ``((default (tasks "10%") ...) (team "blue" (cpus 40) ...) (bind-all 1))``. A
+    string with a percent sign is a share, a number is an absolute amount. Amounts that a team
+    does not set are taken from ``default``.
 
-    A text with a percent sign is a share, a number a number. What a team leaves out is as in
-    ``default``. ValueError with one line that names the entry.
+    Raises:
+        ValueError: an entry is not valid; the message is one line that names it.
     """
     default, teams, bind_all = DisruptionBudget(), {}, False
     entries = [entry for entry in form if isinstance(entry, list) and entry]
     if len(entries) != len(form):
-        raise ValueError("every entry must be a list")
+        raise ValueError("every entry must be a non-empty list")
     for entry in entries:
         if str(entry[0]) == "default":
             default = _budget(default, entry[1:], "default")
@@ -115,7 +131,7 @@
         try:
             share = float(value[:-1]) / 100
         except ValueError:
-            raise ValueError(f"{where}: not a percentage") from None
+            raise ValueError(f"{where}: not a percentage such as 10%") from None
         if not 0.0 <= share <= 1.0:
             raise ValueError(f"{where}: must be 0% to 100%")
         return Amount(share=share)
--- a/dunehold/coordination/fleet/__init__.py
+++ b/dunehold/coordination/fleet/__init__.py
@@ -1,1 +1,1 @@
-"""The machines: renting, listing, returning."""
+"""Renting machines from the cloud, listing them and returning them."""
--- a/dunehold/coordination/fleet/autoscaler.py
+++ b/dunehold/coordination/fleet/autoscaler.py
@@ -1,4 +1,7 @@
-"""Which machines to rent and which to return: a pure function from a picture of the fleet."""
+"""Decides which machines to rent and which to return.
+
+``decide`` is a pure function of the machine types, the hosts and the demand.
+"""
 
 from __future__ import annotations
 
@@ -9,20 +12,25 @@
 from dunehold.protocol.cloud import MAX_MACHINES_PER_RENTAL, MachineType
 from dunehold.types import HostId, Resources, TypeName, Zone
 
-UNRELIABLE_COST_FACTOR = 3.0  # times as dear: a kind whose machines come up late, or never
-FREED_ROOM_HORIZON_SHARE = (
-    0.3  # of a boot time: room that frees up later is wanted by later arrivals
-)
+# Multiplies the price of an offer whose machines often boot late or not at all.
+UNRELIABLE_COST_FACTOR = 3.0
+# Share of the shortest boot time. Capacity that is released within this time counts as free;
+# capacity that is released later is left to work that arrives later.
+FREED_ROOM_HORIZON_SHARE = 0.3
 
 
 @dataclass(frozen=True, slots=True)
 class Rent:
+    """A number of machines to rent of one offer."""
+
     offer: Offer
     number: int
 
 
 @dataclass(slots=True)
 class ScalingDecision:
+    """Machines to rent and hosts to release."""
+
     rent: list[Rent] = field(default_factory=list)
     release: list[HostId] = field(default_factory=list)
 
@@ -36,6 +44,20 @@
     kept_cpus: float,
     idle_return_s: float,
 ) -> ScalingDecision:
+    """Decides what to rent for the demand that does not fit, or else which hosts to release.
+
+    Hosts are released only in a decision that rents nothing.
+
+    Args:
+        types: all machine types.
+        hosts: hosts that new work can be planned on.
+        demands: waiting tasks, in the order in which they get free capacity.
+        refused: offers that must not be rented, for example after a refusal by the cloud.
+        unreliable: offers whose machines often boot late or not at all; they count as
+            ``UNRELIABLE_COST_FACTOR`` times as expensive.
+        kept_cpus: CPUs that the fleet keeps; idle hosts beyond them are released.
+        idle_return_s: seconds for which a host must be idle before it may be released.
+    """
     decision = ScalingDecision()
     horizon = FREED_ROOM_HORIZON_SHARE * min(
         (kind.boot_s for kind in types.values()), default=0.0
@@ -45,7 +67,8 @@
     for host in hosts:
         free = host.free
         for ends_s, need in host.expected_releases:
-            # What frees up before a new machine could have booted needs no machine.
+            # Capacity that is released long before a new machine could boot makes renting
+            # one unnecessary.
             if ends_s < horizon:
                 free = free.plus(need)
         if free.cpus >= least:
@@ -54,21 +77,25 @@
     for host in hosts:
         per_zone[host.offer.zone] = per_zone.get(host.offer.zone, 0) + 1
     asked: dict[Offer, int] = {}
-    # Needs that found no room on machines of a kind: room only shrinks, but for what is rented.
-    crowded: dict[Offer, list[Resources]] = {}
+    # Needs that did not fit on the hosts of an offer. Free capacity only shrinks in the course
+    # of a decision, so a need that is at least as large is not tried again. Renting a machine
+    # adds capacity and therefore clears the entry of its offer.
+    unplaceable: dict[Offer, list[Resources]] = {}
     for demand in demands:
         left = demand.tasks
         for offer, places in room.items():
             if left <= 0:
                 break
-            known = crowded.setdefault(offer, [])
-            if any(demand.need.holds(need) for need in known) or not demand.allowed(offer):
+            too_large = unplaceable.setdefault(offer, [])
+            if any(demand.need.holds(need) for need in too_large) or not demand.allowed(offer):
                 continue
-            left = _use(places, demand.need, left, least)
+            left = _fill(places, demand.need, left, least)
             if left > 0:
-                known.append(demand.need)
+                too_large.append(demand.need)
         if left > 0:
-            _rent(types, demand, left, refused, unreliable, per_zone, asked, room, crowded)
+            _add_rentals(
+                types, demand, left, refused, unreliable, per_zone, asked, room, unplaceable
+            )
     for offer, number in asked.items():
         full, rest = divmod(number, MAX_MACHINES_PER_RENTAL)
         decision.rent.extend(Rent(offer, MAX_MACHINES_PER_RENTAL) for _ in range(full))
@@ -79,8 +106,11 @@
     return decision
 
 
-def _use(places: dict[HostId, Resources], need: Resources, left: int, least: float) -> int:
-    """Fill the places with so many tasks; how many are left. Full places are dropped."""
+def _fill(places: dict[HostId, Resources], need: Resources, left: int, least: float) -> int:
+    """Places up to ``left`` tasks on the hosts in ``places`` and returns how many remain.
+
+    Hosts with fewer than ``least`` free CPUs are removed from ``places``.
+    """
     full = []
     for host, free in places.items():
         if left <= 0:
@@ -96,7 +126,7 @@
     return left
 
 
-def _rent(
+def _add_rentals(
     types: dict[TypeName, MachineType],
     demand: Demand,
     left: int,
@@ -107,7 +137,11 @@
     room: dict[Offer, dict[HostId, Resources]],
     unplaceable: dict[Offer, list[Resources]],
 ) -> None:
-    """Ask for the cheapest machines that take the tasks."""
+    """Adds the cheapest machines that can run the remaining tasks to ``asked``.
+
+    The machines are spread over all zones in which the cheapest type can be rented, beginning
+    with the zone that has the fewest hosts.
+    """
     options: list[tuple[float, int, Offer, MachineType]] = []
     for kind in types.values():
         copies = kind.capacity.count_fitting(demand.need)
@@ -121,7 +155,7 @@
                 price = kind.spot_price if spot else kind.price
                 cost = price * math.ceil(left / copies)
                 if offer in unreliable:
-                    cost *= UNRELIABLE_COST_FACTOR  # it is paid for while it does not come up
+                    cost *= UNRELIABLE_COST_FACTOR  # a machine is also paid for while it boots
                 options.append((cost, per_zone.get(zone, 0), offer, kind))
     if not options:
         return
@@ -129,21 +163,23 @@
     copies = kind.capacity.count_fitting(demand.need)
     number = math.ceil(left / copies)
 
-    def sort(one: Offer) -> tuple[TypeName, bool, bool]:
+    def equivalence_key(one: Offer) -> tuple[TypeName, bool, bool]:
         return one.type, one.spot, one in unreliable
 
-    twins = [option for option in options if sort(option[2]) == sort(offer)]
-    share = math.ceil(number / len(twins)) if number > 1 else number
-    for _, _, twin, _ in sorted(twins, key=lambda option: option[1]):
+    equivalent = [
+        option for option in options if equivalence_key(option[2]) == equivalence_key(offer)
+    ]
+    share = math.ceil(number / len(equivalent)) if number > 1 else number
+    for _, _, candidate, _ in sorted(equivalent, key=lambda option: option[1]):
         take = min(share, number)
         if take <= 0:
             break
-        asked[twin] = asked.get(twin, 0) + take
+        asked[candidate] = asked.get(candidate, 0) + take
         number -= take
-        per_zone[twin.zone] = per_zone.get(twin.zone, 0) + take
+        per_zone[candidate.zone] = per_zone.get(candidate.zone, 0) + take
     spare = math.ceil(left / copies) * copies - left
     if spare:
-        # The rest of the last machine serves the demands that follow.
+        # The free capacity of the last machine is available to the demands that follow.
         places = room.setdefault(offer, {})
         unplaceable.pop(offer, None)
         places[HostId(f"+{len(asked)}-{len(places)}")] = kind.capacity.minus(
@@ -157,20 +193,20 @@
     kept_cpus: float,
     idle_return_s: float,
 ) -> list[HostId]:
-    """Idle machines beyond what recent demand needed, the dearest a CPU first."""
+    """Returns idle hosts beyond ``kept_cpus``, those with the highest price per CPU first."""
 
-    def price(host: FleetHost) -> float:
+    def price_per_cpu(host: FleetHost) -> float:
         kind = types[host.offer.type]
         rate = kind.spot_price if host.offer.spot else kind.price
         return rate / max(kind.capacity.cpus, 1.0)
 
     cpus = sum(host.total.cpus for host in hosts)
-    back = []
-    for host in sorted(hosts, key=price, reverse=True):
+    released = []
+    for host in sorted(hosts, key=price_per_cpu, reverse=True):
         idle = host.idle_s
         if idle is None or idle < idle_return_s:
             continue
         if cpus - host.total.cpus >= kept_cpus:
             cpus -= host.total.cpus
-            back.append(host.id)
-    return back
+            released.append(host.id)
+    return released
--- a/dunehold/coordination/maintenance/__init__.py
+++ b/dunehold/coordination/maintenance/__init__.py
@@ -1,1 +1,1 @@
-"""Orders of operators: machines taken out of service and replaced, within budgets."""
+"""Operators' maintenance orders: draining and replacing machines within disruption budgets."""
--- a/dunehold/coordination/maintenance/controller.py
+++ b/dunehold/coordination/maintenance/controller.py
@@ -1,9 +1,11 @@
-"""The leader's care for operators' orders: what is out of service, stopped, and done next.
-
-The view says what is ordered; the ledger asks ``out_of_service_order`` before every start, so
-that nothing is begun on a machine from the moment at which this node's view has the order.
-Stops by choice are written down before they are commanded.
-Steps follow from what is durable and what is there.
+"""Carries out operators' maintenance orders on the leader.
+
+The controller takes machines out of service, stops work on them within the disruption budgets
+and replaces machines in waves. The orders come from the view. The ledger calls
+``out_of_service_order`` before every start, so that nothing is started on a machine once this
+node's view has an order for it. Stops by choice are recorded durably before they are commanded.
+Every step follows from the durable progress and from the machines that exist, so that a next
+leader continues an order.
 """
 
 from __future__ import annotations
@@ -21,7 +23,7 @@
 from dunehold.bookkeeping.orders import HostKind, OrderProgress, Stage
 from dunehold.bookkeeping.view import View
 from dunehold.coordination.fleet.autoscaler import Rent
-from dunehold.coordination.fleet.fleet import LATE_AFTER_BOOT_TIMES, Fleet
+from dunehold.coordination.fleet.fleet import DEFAULT_BOOT_S, LATE_AFTER_BOOT_TIMES, Fleet
 from dunehold.coordination.maintenance import draining, replacement, scope
 from dunehold.coordination.maintenance.draining import DrainCandidate
 from dunehold.coordination.persistence.recorder import Recorder
@@ -57,16 +59,25 @@
 
 log = logging.getLogger(__name__)
 
-MAX_ENDED_ORDERS = 30  # that have ended, for operators to look at
-MAX_SLOWNESS_FACTOR = 1.3  # times what others take: a fresh machine that is slower is bad
-MAX_HOLD_REASONS = 5
-LOWEST_HOST_ID = HostId("-")  # before that of any machine
+MAX_ENDED_ORDERS = 30  # ended orders that are kept for operators to look at
+# A new machine is faulty if its tasks take more than this many times as long as on others.
+MAX_SLOWNESS_FACTOR = 1.3
+MAX_HOLD_REASONS = 5  # reasons that are shown for each order
+LOWEST_HOST_ID = HostId("-")  # sorts before the id of any machine
 DRAIN_REASON = "its machine is to run empty"
 
 
 @dataclass(frozen=True, slots=True)
 class StopGroup:
-    """Attempts that are stopped together; without ``grace``, those that save get time to."""
+    """Attempts that are stopped together.
+
+    Attributes:
+        attempts: the attempts; all of a gang, or a single one.
+        hit: the disruption that the stop counts as.
+        reason: reason for the log.
+        grace: time between the stop command and the end of an attempt; None means the time to
+            save a checkpoint for jobs that save, and 0 for others.
+    """
 
     attempts: tuple[AttemptId, ...]
     hit: Disruption
@@ -76,6 +87,20 @@
 
 @dataclass(slots=True)
 class MaintenanceController:
+    """Carries out the orders of the view for as long as this node leads.
+
+    Attributes:
+        may_start: tells whether this node may still act as the leader.
+        wall: returns the time of day, seconds since the epoch.
+        spawn: runs a coroutine in the background for the duration of the term.
+        stop: commands the stop of a run, and queues its task again if it was never sent.
+        requeue: queues a task whose start was withdrawn.
+        in_time: returns for each team the jobs done in time, and all jobs done that have an
+            objective.
+        waiting_cpus: returns the CPUs of all waiting tasks.
+        disruptions: recent disruptions, and what they leave of the budgets.
+    """
+
     settings: Settings
     view: View
     ledger: Ledger
@@ -88,34 +113,38 @@
     may_start: Callable[[], bool]
     wall: Callable[[], float]
     spawn: Callable[[Coroutine[Any, Any, None]], None]
-    stop: Callable[[Run, Duration], None]  # and place its task anew where it was never sent
+    stop: Callable[[Run, Duration], None]
     requeue: Callable[[TaskId], None]
-    in_time: Callable[[], dict[Team, tuple[int, int]]]  # done in time, of those with an aim
+    in_time: Callable[[], dict[Team, tuple[int, int]]]
     waiting_cpus: Callable[[], float]
     disruptions: DisruptionTracker = field(init=False)
-    _pending_progress: dict[OrderId, OrderProgress] = field(
-        default_factory=dict
-    )  # decided, maybe not durable
+    # Progress that is decided but may not be durable yet.
+    _pending_progress: dict[OrderId, OrderProgress] = field(default_factory=dict)
+    # What each order waits for, shown to operators.
     _hold_reasons: dict[OrderId, list[str]] = field(default_factory=dict)
-    _before: dict[OrderId, dict[Team, tuple[int, int]]] = field(default_factory=dict)
-    _late: dict[OrderId, int] = field(default_factory=dict)
-    _failed: dict[OrderId, dict[HostId, HostKind]] = field(default_factory=dict)  # fresh ones
-    _marked: bool = False  # some machine is out of service by an order
-    _pending_stops: int = 0  # stops that are being written down
+    # ``in_time`` when this leader first began a wave of the order.
+    _on_time_before: dict[OrderId, dict[Team, tuple[int, int]]] = field(default_factory=dict)
+    # Tasks that stay on machines beyond their time limit.
+    _late_tasks: dict[OrderId, int] = field(default_factory=dict)
+    # Faulty new machines, with the kind of machine that they were to replace.
+    _faulty_hosts: dict[OrderId, dict[HostId, HostKind]] = field(default_factory=dict)
+    _any_out_of_service: bool = False  # an order keeps some machine out of service
+    _pending_records: int = 0  # disruption records that are being written
 
     def __post_init__(self) -> None:
         self.disruptions = DisruptionTracker(self.settings.operator.disruption)
         self.ledger.out_of_service_order = self.out_of_service_order
 
-    # -- what is out of service ------------------------------------------------------------
+    # -- machines out of service -----------------------------------------------------------
 
     def progress(self, order: OrderId) -> OrderProgress:
+        """Returns the latest progress of an order, even if it is not durable yet."""
         return self._pending_progress.get(order) or self.view.order_progress.get(
             order, scope.NOT_BEGUN
         )
 
     def out_of_service_order(self, host: Host) -> OrderId | None:
-        """The order that keeps this machine out of service now, if any does."""
+        """Returns an order that keeps the machine out of service now, or None."""
         if not self.view.orders:
             return None
         wall = WallTime(self.wall())
@@ -125,7 +154,11 @@
         return None
 
     def out_of_service_at(self, host: Host, now: MonotonicTime) -> float:
-        """When a maintenance window that is known takes the machine; infinite if none does."""
+        """Returns when the next maintenance window of the machine begins.
+
+        The result is of the monotonic clock, and infinite if there is no window. Only drain
+        orders that begin in the future are windows.
+        """
         found = math.inf
         wall = self.wall()
         for order in self.view.orders.values():
@@ -141,7 +174,7 @@
         return found
 
     def excluded_offers(self) -> set[Offer]:
-        """Kinds of which nothing is rented: all that there is of them is out of service."""
+        """Returns the offers that are not rented because all their machines are drained."""
         wall = WallTime(self.wall())
         drains = [
             order
@@ -160,7 +193,10 @@
         }
 
     def is_retained(self, host: HostId) -> bool:
-        """Rented for a replacement, and so not returned for being idle."""
+        """Tells whether a machine is kept when it is idle because of a replacement order.
+
+        That holds for the machines that were created after an open replacement order began.
+        """
         for order in self.view.orders.values():
             progress = self.progress(order.id)
             if (
@@ -174,20 +210,24 @@
         return False
 
     def apply_orders(self) -> None:
-        """Bring the machines in line with the orders as the view has them now.
+        """Marks the machines that the orders of the view take out of service or return to it.
 
-        Starts that nobody can have carried out are taken back: guards against one that was
-        planned just before its machine was ordered out.
+        Starts that no worker can have carried out are withdrawn, and their tasks are queued
+        again: they may have been planned just before the order took effect.
         """
-        if not self.view.orders and not self._marked:
+        if not self.view.orders and not self._any_out_of_service:
             return
-        self._marked = False
+        self._any_out_of_service = False
         for host in self.ledger.hosts.values():
             order = self.out_of_service_order(host)
-            self._marked = self._marked or order is not None
+            self._any_out_of_service = self._any_out_of_service or order is not None
             if order == host.order:
                 continue
-            log.info("host %s: %s", host.id, f"order {order}" if order else "in service again")
+            log.info(
+                "host %s: %s",
+                host.id,
+                f"out of service by order {order}" if order else "back in service",
+            )
             if order is None:
                 if host.draining == f"order {host.order}":
                     host.draining = None
@@ -202,34 +242,50 @@
             host.order = order
             host.version += 1
 
-    # -- a leader's life -------------------------------------------------------------------
+    # -- lifecycle -------------------------------------------------------------------------
 
     def restore(self, now: MonotonicTime) -> None:
-        """What the leader before spent is spent, for a window from now at least."""
+        """Restores the disruptions that the previous leader recorded.
+
+        They count for at least one window from now.
+        """
         try:
             self.disruptions.restore(self.view.disruptions, now, WallTime(self.wall()))
         except (BadMessage, ValueError, TypeError) as error:
-            # Unknown means spent: nothing by choice until the longest window is over.
-            log.error("disruptions are not readable: %s", error)
+            # What has been spent is unknown, so nothing of a team is stopped by choice until
+            # the window of its budget is over.
+            log.error("can't read the record of disruptions, stopping nothing yet: %s", error)
             self.disruptions.block(self.settings.teams, now)
         self.apply_orders()
 
     def orders_changed(self) -> None:
-        """An operator said something that this node's view has now."""
-        for order in (*self._hold_reasons, *self._before, *self._late, *self._failed):
+        """Applies a change of the orders in this node's view."""
+        for order in (
+            *self._hold_reasons,
+            *self._on_time_before,
+            *self._late_tasks,
+            *self._faulty_hosts,
+        ):
             if order not in self.view.orders:
                 self._drop_order(order)
         if any(order.begins_at is not None for order in self.view.orders.values()):
             for host in self.ledger.hosts.values():
-                host.version += 1  # a window may have come or gone: it is pictured anew
+                # A maintenance window may have changed: planning must rebuild the host's state.
+                host.version += 1
         self.apply_orders()
 
     def _drop_order(self, order: OrderId) -> None:
         self.fleet.rentals_for_orders.pop(order, None)
-        for kept in (self._hold_reasons, self._before, self._late, self._failed):
-            kept.pop(order, None)
+        for by_order in (
+            self._hold_reasons,
+            self._on_time_before,
+            self._late_tasks,
+            self._faulty_hosts,
+        ):
+            by_order.pop(order, None)
 
     def update(self, now: MonotonicTime) -> None:
+        """Advances all orders and stops work on draining machines; called at every tick."""
         self.disruptions.expire(now)
         if not self.may_start():
             return
@@ -240,10 +296,10 @@
         for order in list(self.view.orders.values()):
             self._advance(order, now, wall)
         self.apply_orders()
-        self._empty(now, wall)
+        self._stop_work_on_draining_hosts(now, wall)
         self._forget_ended_orders()
 
-    # -- steps -----------------------------------------------------------------------------
+    # -- progress of orders ----------------------------------------------------------------
 
     def _advance(self, order: Order, now: MonotonicTime, wall: WallTime) -> None:
         progress = self.progress(order.id)
@@ -252,7 +308,7 @@
                 order.desired_state is DesiredState.ABORT
                 and progress.stage is not Stage.ABORTED
             ):
-                return  # it had ended before
+                return  # it had ended before the abort
             return
         if order.desired_state is DesiredState.ABORT:
             self._decide(
@@ -264,21 +320,25 @@
             self._hold_reasons[order.id] = [f"begins in {order.begins_at - wall:.0f} s"]
             return
         if progress.stage is Stage.NEW and progress.last_host is None:
-            mark = self._newest_matching_host(order, now)
-            if mark is None:
+            newest_host = self._newest_matching_host(order, now)
+            if newest_host is None:
                 self._hold_reasons[order.id] = ["the machines' ages are not listed yet"]
                 return
             stage = Stage.NEW if order.kind is OrderKind.REPLACE else Stage.DRAINING
-            progress = replace(progress, last_host=mark, stage=stage, stage_since=wall)
+            progress = replace(progress, last_host=newest_host, stage=stage, stage_since=wall)
             self._decide(order, progress)
         if order.kind is OrderKind.DRAIN:
             self._advance_drain(order, progress, wall)
         elif self.view.order_progress.get(order.id) == progress:
-            # Nothing is rented or taken by what a next leader would not know of.
+            # Machines are rented and taken out of service only by durable progress: a next
+            # leader would not know of any other.
             self._advance_replacement(order, progress, now, wall)
 
     def _newest_matching_host(self, order: Order, now: MonotonicTime) -> HostId | None:
-        """The last machine that is meant. Ages are by the cloud's list."""
+        """Returns the newest machine that an order applies to, or None if it is not known yet.
+
+        Machine ages come from the cloud's list, so an order that selects by age waits for it.
+        """
         older = order.selection.older_s
         if older is None:
             return max(self.ledger.hosts, default=LOWEST_HOST_ID)
@@ -288,9 +348,10 @@
         return max(old, default=LOWEST_HOST_ID)
 
     def _decide(self, order: Order, progress: OrderProgress) -> None:
+        """Sets the progress of an order and has it written to the state service."""
         if progress != self.progress(order.id):
             log.info(
-                "order %s: %s, wave %d of %d machines, %d done%s",
+                "order %s: stage %s, wave %d of %d machines, %d machines done%s",
                 order.id,
                 progress.stage.value,
                 progress.wave,
@@ -305,6 +366,11 @@
         return [h for h in self.ledger.hosts.values() if scope.applies_to(order, progress, h)]
 
     def _advance_drain(self, order: Order, progress: OrderProgress, wall: WallTime) -> None:
+        """Ends a drain that is complete, or notes what it waits for.
+
+        A drain that selects by type, zone or spot alone also applies to future machines, and
+        one with ``keep`` keeps its machines rented. Both last until they are aborted.
+        """
         left = self._matching_hosts(order, progress)
         busy = sum(host.busy or not host.session_known for host in left)
         lasting = not scope.limited_to_existing(order) and not order.selection.hosts
@@ -321,6 +387,7 @@
     def _advance_replacement(
         self, order: Order, progress: OrderProgress, now: MonotonicTime, wall: WallTime
     ) -> None:
+        """Carries out the next step of a replacement, unless it is paused."""
         if order.desired_state is DesiredState.PAUSE:
             self._hold_reasons[order.id] = ["paused"]
             return
@@ -329,7 +396,7 @@
         self._hold_reasons[order.id] = [step.hold_up] if step.hold_up else []
         if step.progress != progress:
             if step.progress.wave != progress.wave:
-                self._before.setdefault(order.id, self.in_time())
+                self._on_time_before.setdefault(order.id, self.in_time())
             self._decide(order, step.progress)
         for name in step.give_up:
             host = self.ledger.hosts.get(name)
@@ -343,34 +410,43 @@
             self.fleet.rentals_for_orders.pop(order.id, None)
 
     @staticmethod
-    def _target(order: Order, of: HostKind) -> Offer:
-        return Offer(order.replacement_type or of[0], of[1], of[2])
+    def _target(order: Order, old_kind: HostKind) -> Offer:
+        """Returns the offer of the machines that replace machines of a kind."""
+        return Offer(order.replacement_type or old_kind[0], old_kind[1], old_kind[2])
 
     def _observe(
         self, order: Order, progress: OrderProgress, now: MonotonicTime, wall: WallTime
     ) -> replacement.Observation:
+        """Collects what ``replacement.next_step`` needs to know."""
         old, fresh = [], []
         kinds = {(h.type, h.zone, h.spot) for h in self.ledger.hosts.values()}
         replaced = {self._target(order, kind): kind for kind in sorted(kinds)}
-        failed = self._failed.setdefault(order.id, {})
+        faulty = self._faulty_hosts.setdefault(order.id, {})
         for host in self.ledger.hosts.values():
             kind = host.type, host.zone, host.spot
             if scope.applies_to(order, progress, host):
                 old.append(replacement.OldHost(host.id, kind, host.used.cpus))
             elif progress.last_host is not None and host.id > progress.last_host:
-                # Those of this wave first: several kinds may be replaced by one type.
-                of = progress.host_kind
-                if of is None or self._target(order, of) != Offer(*kind):
-                    of = replaced.get(Offer(*kind))
-                if of is None:
+                # Several kinds may be replaced by one type. A new machine that fits the kind of
+                # the present wave counts for that kind.
+                old_kind = progress.host_kind
+                if old_kind is None or self._target(order, old_kind) != Offer(*kind):
+                    old_kind = replaced.get(Offer(*kind))
+                if old_kind is None:
                     continue
                 if self._is_faulty(host, now):
-                    failed[host.id] = of  # for good, though it is returned before long
+                    # It keeps counting as faulty even after it has been returned.
+                    faulty[host.id] = old_kind
                     continue
-                failed.pop(host.id, None)  # it came up after all
+                faulty.pop(host.id, None)  # it came up after all
                 if not host.deleting and host.draining is None:
-                    fresh.append(replacement.FreshHost(host.id, of, host.session_known, False))
-        fresh += [replacement.FreshHost(name, of, False, True) for name, of in failed.items()]
+                    fresh.append(
+                        replacement.FreshHost(host.id, old_kind, host.session_known, False)
+                    )
+        fresh += [
+            replacement.FreshHost(name, old_kind, False, True)
+            for name, old_kind in faulty.items()
+        ]
         states = [s for s in self.snapshot_builder.host_states(now) if s.ready_at <= now]
         staying = {one.id for one in old}
         boots = [kind.boot_s for kind in self.types.values()]
@@ -383,7 +459,7 @@
                 for z in self.settings.zones
                 if self.zones.condition(z) is ZoneCondition.HEALTHY
             },
-            boot_s=max(boots, default=30.0),
+            boot_s=max(boots, default=DEFAULT_BOOT_S),
             refused={
                 kind
                 for offer, kind in replaced.items()
@@ -396,30 +472,38 @@
         )
 
     def _is_faulty(self, host: Host, now: MonotonicTime) -> bool:
+        """Tells whether a new machine is overdue, quarantined or too slow."""
         kind = self.types.get(host.type)
-        boot_s = kind.boot_s if kind is not None else 30.0
+        boot_s = kind.boot_s if kind is not None else DEFAULT_BOOT_S
         if not host.up and host.lease_renewed_at is None:
             return now - host.created_at > LATE_AFTER_BOOT_TIMES * boot_s
         return host.quarantined_at is not None or host.slowness > MAX_SLOWNESS_FACTOR
 
     def _on_time_regression(self, order: OrderId) -> str:
-        """A team of whose jobs far fewer are in time than before the order began."""
-        before = self._before.get(order)
+        """Returns a reason to halt if some team's share of jobs in time dropped, or "".
+
+        The share since this leader first began a wave of the order is compared with the share
+        before that.
+        """
+        before = self._on_time_before.get(order)
         if before is None:
             return ""
         for team, (in_time, timed) in self.in_time().items():
-            was_in_time, was_timed = before.get(team, (0, 0))
-            number = timed - was_timed
-            if was_timed < replacement.MIN_TIMED_JOBS or number < replacement.MIN_TIMED_JOBS:
+            in_time_before, timed_before = before.get(team, (0, 0))
+            timed_since = timed - timed_before
+            if (
+                timed_before < replacement.MIN_TIMED_JOBS
+                or timed_since < replacement.MIN_TIMED_JOBS
+            ):
                 continue
             if (
-                in_time - was_in_time
-            ) / number < was_in_time / was_timed - replacement.MAX_ON_TIME_DROP:
+                in_time - in_time_before
+            ) / timed_since < in_time_before / timed_before - replacement.MAX_ON_TIME_DROP:
                 return f"team {team}: far fewer jobs are in time than before"
         return ""
 
     def _forget_ended_orders(self) -> None:
-        """Orders that ended long ago are forgotten, and so is what was asked for them."""
+        """Drops rentals for ended orders, and ended orders beyond ``MAX_ENDED_ORDERS``."""
         ended = [
             order
             for order in self.view.orders.values()
@@ -437,9 +521,12 @@
 
     # -- stops -----------------------------------------------------------------------------
 
-    def _empty(self, now: MonotonicTime, wall: WallTime) -> None:
-        """What has to be stopped on the machines that are to run empty."""
-        if self._pending_stops:
+    def _stop_work_on_draining_hosts(self, now: MonotonicTime, wall: WallTime) -> None:
+        """Stops what has to be stopped on the machines that are draining for an order.
+
+        Does nothing while earlier stops are being recorded.
+        """
+        if self._pending_records:
             return
         hosts = [
             h for h in self.ledger.hosts.values() if h.order is not None and h.session_known
@@ -457,13 +544,13 @@
         for order in {host.order for host in hosts if host.order is not None}:
             if decision.held_up:
                 self._hold_reasons[order] = decision.held_up[:MAX_HOLD_REASONS]
-            self._late[order] = decision.late
+            self._late_tasks[order] = decision.late
         if decision.stops:
-            cuts = [
-                StopGroup(tuple(self._runs_of(one)), one.hit, DRAIN_REASON)
-                for one in decision.stops
+            groups = [
+                StopGroup(tuple(self._attempts_to_stop(candidate)), candidate.hit, DRAIN_REASON)
+                for candidate in decision.stops
             ]
-            self._record_and_stop(cuts, now)
+            self._record_and_stop(groups, now)
 
     @staticmethod
     def _is_active(order: Order) -> bool:
@@ -472,6 +559,7 @@
     def _drain_candidates(
         self, hosts: list[Host], now: MonotonicTime, wall: WallTime
     ) -> list[DrainCandidate]:
+        """Returns the attempts on draining machines, with what a decision needs to know."""
         free = {
             state.id: (state, state.free)
             for state in self.snapshot_builder.host_states(now)
@@ -490,7 +578,7 @@
                 service = spec.kind is JobKind.SERVICE
                 members = len(self.ledger.task_zones_by_job.get(spec.id, ()))
                 gang = members if spec.kind is JobKind.GANG else 0
-                moves = service or spec.checkpoint_s > 0
+                can_move = service or spec.checkpoint_s > 0
                 found.append(
                     DrainCandidate(
                         run.id,
@@ -506,7 +594,7 @@
                         self._replicas_up(spec.id) if service else 0,
                         gang,
                         gang * spec.need.cpus,
-                        moves and self._reserve_room(spec, host.zone, free),
+                        can_move and self._reserve_room(spec, host.zone, free),
                         run.stop_grace_s is not None,
                     )
                 )
@@ -515,7 +603,10 @@
     def _reserve_room(
         self, spec: JobSpec, zone: Zone, free: dict[HostId, tuple[HostState, Resources]]
     ) -> bool:
-        """Does a machine stand ready for one of its tasks from that zone? Its room is taken."""
+        """Tells whether some machine is ready to run a task of the job that leaves ``zone``.
+
+        If so, the task's resources are subtracted from that machine in ``free``.
+        """
         zones = self.ledger.job_zones(spec.id)
         for name, (state, room) in free.items():
             if not room.holds(spec.need):
@@ -532,7 +623,7 @@
         return False
 
     def _limit_s(self, order: Order, wall: WallTime) -> float:
-        """From now until its machines are to be empty."""
+        """Returns the seconds from now until the order's machines are to be empty."""
         ends = math.inf if order.ends_at is None else order.ends_at
         if order.drain_timeout_s is not None:
             progress = self.progress(order.id)
@@ -541,7 +632,7 @@
         return ends - wall
 
     def _replicas_up(self, job: JobId) -> int:
-        """Replicas that run and are not about to be stopped."""
+        """Counts the replicas of a service that run and have no stop commanded."""
         count = 0
         for task in self.ledger.task_zones_by_job.get(job, ()):
             runs = self.ledger.runs_by_task.get(task, ())
@@ -551,6 +642,7 @@
         return count
 
     def _wholes(self) -> dict[Team, TeamTotals]:
+        """Returns what each team has on machines; tasks do not include replicas."""
         counts: dict[Team, int] = {}
         for runs in self.ledger.runs_by_task.values():
             if not runs[0].service:
@@ -560,22 +652,22 @@
             for team, use in self.ledger.usage_by_team.items()
         }
 
-    def _runs_of(self, one: DrainCandidate) -> list[AttemptId]:
-        """All of a gang goes with one of it."""
-        if not one.gang:
-            return [one.attempt]
-        tasks = self.ledger.task_zones_by_job.get(one.attempt.task.job, {})
+    def _attempts_to_stop(self, candidate: DrainCandidate) -> list[AttemptId]:
+        """Returns the candidate's attempt, or those of its whole gang."""
+        if not candidate.gang:
+            return [candidate.attempt]
+        tasks = self.ledger.task_zones_by_job.get(candidate.attempt.task.job, {})
         return [run.id for task in tasks for run in self.ledger.runs_by_task.get(task, ())]
 
     # -- budgets ---------------------------------------------------------------------------
 
     @property
     def budgets_bind_scheduler(self) -> bool:
-        """Do the scheduler's own doings keep to the budgets?"""
+        """Whether moves and preemption by the scheduler keep to the budgets."""
         return self.settings.operator.disruption.bind_all
 
     def protected_teams(self) -> frozenset[Team]:
-        """Teams of whose work nothing may be stopped by choice now."""
+        """Returns the teams of which the scheduler may stop nothing now."""
         if not self.budgets_bind_scheduler:
             return frozenset()
         wholes = self._wholes()
@@ -586,7 +678,10 @@
     def stop_within_budgets(
         self, wanted: Iterable[tuple[Run, Duration, str]], now: MonotonicTime
     ) -> None:
-        """Stops that a plan wants, as far as the budgets allow them."""
+        """Stops what a plan wants to stop, as far as the budgets allow.
+
+        ``wanted`` holds the run, the grace period and the reason of each stop.
+        """
         wholes = self._wholes()
         for run, grace, reason in wanted:
             spec = self._spec(run)
@@ -598,101 +693,114 @@
                 hit, wholes.get(run.team, TeamTotals()), spec.tasks, up
             )
             if refused is not None:
-                log.debug("stop of %s held up: %s", run.id, refused)
+                log.debug("stop of %s refused by the disruption budget: %s", run.id, refused)
             else:
-                # One by one: what the last was granted counts for the next.
+                # One record for each stop, so that it counts before the next one is checked.
                 self._record_and_stop([StopGroup((run.id,), hit, reason, grace)], now)
 
     def _spec(self, run: Run) -> JobSpec | None:
         record = self.view.active.get(run.id.task.job)
         return record.spec if record is not None else None
 
-    def _record_and_stop(self, cuts: list[StopGroup], now: MonotonicTime) -> None:
-        """Spent from here on, whatever becomes of it; stopped once that is durable."""
-        value = self.disruptions.encode((cut.hit for cut in cuts), now, WallTime(self.wall()))
+    def _record_and_stop(self, groups: list[StopGroup], now: MonotonicTime) -> None:
+        """Counts stops against the budgets, records that, and stops once it is durable.
+
+        The stops count from now on, even if they are not carried out.
+        """
+        value = self.disruptions.encode(
+            (group.hit for group in groups), now, WallTime(self.wall())
+        )
         if len(codec.dump(value)) > records.usable_value_bytes(self.settings.value_bytes):
-            # Too many teams at once for one record: what can't be written down is not done.
-            log.info("%d stops wait: the record of disruptions is full", len(cuts))
+            # The disruptions of too many teams do not fit in one record. A stop that can't be
+            # recorded is not carried out.
+            log.info("%d stops wait: the record of disruptions is full", len(groups))
             return
-        for cut in cuts:
-            cpus = cut.hit.cpus / max(1, len(cut.attempts))
-            share = replace(cut.hit, tasks=1, cpus=cpus)
-            for attempt in cut.attempts:
+        for group in groups:
+            cpus = group.hit.cpus / max(1, len(group.attempts))
+            share = replace(group.hit, tasks=1, cpus=cpus)
+            for attempt in group.attempts:
                 self.disruptions.add(share, attempt.task, now, choice=True)
-        self._pending_stops += 1
-        self.spawn(self._stop_once_durable(value, cuts))
+        self._pending_records += 1
+        self.spawn(self._stop_once_durable(value, groups))
 
-    async def _stop_once_durable(self, value: Any, cuts: list[StopGroup]) -> None:
+    async def _stop_once_durable(self, value: Any, groups: list[StopGroup]) -> None:
         try:
             await self.recorder.record_disruptions(value)
         finally:
-            self._pending_stops -= 1
+            self._pending_records -= 1
         if not self.may_start():
             return
-        for cut in cuts:
-            for attempt in cut.attempts:
+        for group in groups:
+            for attempt in group.attempts:
                 for run in list(self.ledger.runs_by_task.get(attempt.task, ())):
                     if run.id == attempt and run.stop_grace_s is None:
-                        self._stop_run(run, cut)
+                        self._stop_run(run, group)
 
-    def _stop_run(self, run: Run, cut: StopGroup) -> None:
+    def _stop_run(self, run: Run, group: StopGroup) -> None:
+        """Commands the stop of a run, unless the reason for it is gone."""
         host = self.ledger.hosts.get(run.host)
-        alone = cut.reason == DRAIN_REASON and len(cut.attempts) == 1
-        if alone and (host is None or host.order is None):
+        # A gang is stopped as a whole, including members on machines that are not draining.
+        single_drained = group.reason == DRAIN_REASON and len(group.attempts) == 1
+        if single_drained and (host is None or host.order is None):
             self.disruptions.task_restored(run.id.task)
-            return  # undrained meanwhile
+            return  # the machine is no longer draining
         spec = self._spec(run)
         if run.service and spec is not None and not self._may_spare_replica(run, spec):
             self.disruptions.task_restored(run.id.task)
-            return  # others of it went away while this was written down
-        grace = cut.grace
+            return  # other replicas went down while the stop was being recorded
+        grace = group.grace
         if grace is None:
             saves = spec is not None and spec.checkpoint_s > 0
             grace = spec.save_s if spec is not None and saves else Duration(0.0)
-        log.info("stop %s on %s: %s", run.id, run.host, cut.reason)
+        log.info("stopping %s on %s: %s", run.id, run.host, group.reason)
         self.stop(run, grace)
 
     def _may_spare_replica(self, run: Run, spec: JobSpec) -> bool:
+        """Tells whether enough replicas of a service stay up if this one is stopped."""
         least = self.settings.operator.disruption.of(run.team).least_up.of(spec.tasks)
         return self._replicas_up(spec.id) - 1 >= least - EPSILON
 
-    # -- what happens ------------------------------------------------------------------------
+    # -- events ----------------------------------------------------------------------------
 
     def record_lost(self, runs: Iterable[Run], now: MonotonicTime) -> None:
-        """Nobody chose it, but it counts."""
+        """Counts runs that were lost, not stopped by choice, against the budgets."""
         for run in runs:
             hit = Disruption(run.team, run.id.task.job, 1, run.need.cpus, run.service)
             if run.id.task.job in self.view.active:
                 self.disruptions.add(hit, run.id.task, now, choice=False)
 
-    # -- for operators -----------------------------------------------------------------------
+    # -- status for operators --------------------------------------------------------------
 
     def status(self) -> dict[str, Any]:
-        """What only the leader knows of each order."""
+        """Returns what only the leader knows of each order, by the order's id."""
         wall = WallTime(self.wall())
         return {order.id: self._status(order, wall) for order in self.view.orders.values()}
 
     def _status(self, order: Order, wall: WallTime) -> dict[str, Any]:
         progress = self.progress(order.id)
         left = self._matching_hosts(order, progress) if progress.last_host is not None else []
-        over = progress.stage.final
+        ended = progress.stage.final
         return {
             "stage": progress.stage.value,
             "wave": progress.wave,
             "in_hand": sum(host.order == order.id for host in self.ledger.hosts.values()),
-            "left": 0 if over else len(left),
+            "left": 0 if ended else len(left),
             "busy": sum(host.busy for host in left),
             "done": progress.hosts_done,
-            "held_up": [] if over else self._hold_reasons.get(order.id, []),
-            "late": self._late.get(order.id, 0),
+            "held_up": [] if ended else self._hold_reasons.get(order.id, []),
+            "late": self._late_tasks.get(order.id, 0),
             "why": progress.halt_reason,
-            "over_in_s": None if over else self._remaining_s(order, progress, left, wall),
+            "over_in_s": None if ended else self._remaining_s(order, progress, left, wall),
         }
 
     def _remaining_s(
         self, order: Order, progress: OrderProgress, left: list[Host], wall: WallTime
     ) -> float | None:
-        """When it should be over; None where nothing says so."""
+        """Estimates the seconds until an order ends; None if there is no estimate.
+
+        A replacement is assumed to go on at its average rate so far. A drain is over when the
+        longest run on its machines has ended, or at its time limit.
+        """
         if order.kind is OrderKind.REPLACE:
             if not progress.hosts_done:
                 return None
--- a/dunehold/coordination/maintenance/draining.py
+++ b/dunehold/coordination/maintenance/draining.py
@@ -1,11 +1,17 @@
-"""What to stop on machines that are to run empty: least work lost, within the budgets.
-
-A pure function. Work that ends in time is let end. What can't end by the time limit is stopped
-now, since all that it does from here on would be lost as well; what saves goes on elsewhere
-from where it was. A replica never ends, so it moves: it is stopped where a machine stands ready
-for it, and starts there only once the old one is proved gone, as any task does. What that costs
-in availability is the way of two commands, a fetch where the image is not there, and its start.
-Gangs go as a whole, or not at all. Lower ranks go first, then what has done least.
+"""Decides what to stop on machines that are draining: least work lost, within the budgets.
+
+``decide`` is a pure function with these rules:
+
+- Work that is expected to end in time is left to end.
+- Work without checkpoints that can't end by the time limit is stopped now, since everything it
+  does from now on would be lost as well. Work that saves checkpoints resumes elsewhere from its
+  checkpoint.
+- A replica of a service never ends, so it moves. It is stopped when a machine is ready for it
+  and, like any task, starts there only once the old attempt is proved gone. The service misses
+  the replica for the time of two commands, of the image fetch if the image is not cached, and
+  of the start.
+- Gangs are stopped as a whole or not at all.
+- Work of lower rank is stopped first, then work that would lose the least run time.
 """
 
 from __future__ import annotations
@@ -17,30 +23,48 @@
 from dunehold.bookkeeping.disruptions import Disruption, DisruptionTracker, TeamTotals
 from dunehold.types import AttemptId, JobId, Rank, Team
 
-STOP_LATENCY_S = 1.0  # from the decision to the worker
-MIN_REMAINING_TO_MOVE_S = (
-    30.0  # a task that saves is moved, not waited for, if it has longer to go
-)
+STOP_LATENCY_S = 1.0  # from the decision until the worker has the stop command
+# A task that saves checkpoints is moved if it has longer to run than this plus the time to
+# save; otherwise it is left to end.
+MIN_REMAINING_TO_MOVE_S = 30.0
 
 
 @dataclass(frozen=True, slots=True)
 class DrainCandidate:
-    """An attempt on a machine that is to run empty. Times in seconds from now."""
+    """An attempt on a machine that is draining.
+
+    Attributes:
+        attempt: the attempt.
+        team: its team.
+        rank: its effective rank, inherited from dependents if that is higher.
+        cpus: its CPUs.
+        ran_s: how long it has run, seconds.
+        left_s: estimated remaining run time, seconds; infinite for a replica.
+        save_s: time to save a checkpoint when it is stopped, seconds; 0 if it never saves.
+        limit_s: seconds from now until its machine is to be empty.
+        service: whether it is a replica of a service.
+        replicas: wanted replicas of its service.
+        up: replicas of its service that are up.
+        gang: members of its gang on all machines; 0 if it is not in a gang.
+        gang_cpus: CPUs of the whole gang.
+        room_elsewhere: whether another machine is ready that it could start on.
+        stopping: whether its stop has been commanded already.
+    """
 
     attempt: AttemptId
     team: Team
     rank: Rank
     cpus: float
     ran_s: float
-    left_s: float  # estimated; infinite for a replica
-    save_s: float  # to save when it is stopped; 0 if it never saves
-    limit_s: float = math.inf  # by when its machine is to be empty
+    left_s: float
+    save_s: float
+    limit_s: float = math.inf
     service: bool = False
-    replicas: int = 0  # a service's wanted ones
-    up: int = 0  # and those that are up
-    gang: int = 0  # members of its gang, wherever they are; 0 for no gang
+    replicas: int = 0
+    up: int = 0
+    gang: int = 0
     gang_cpus: float = 0.0
-    room_elsewhere: bool = False  # a machine stands ready that it could start on
+    room_elsewhere: bool = False
     stopping: bool = False
 
     @property
@@ -49,22 +73,30 @@
 
     @property
     def hit(self) -> Disruption:
+        """The disruption that stopping it causes: of its whole gang if it is in one."""
         tasks, cpus = (self.gang, self.gang_cpus) if self.gang else (1, self.cpus)
         return Disruption(self.team, self.attempt.task.job, tasks, cpus, self.service)
 
     @property
     def lost_cpu_s(self) -> float:
-        """CPU-seconds that stopping it now throws away."""
+        """CPU-seconds of work that are lost if it is stopped now."""
         return 0.0 if self.saves or self.service else self.ran_s * self.cpus
 
 
 @dataclass(slots=True)
 class DrainDecision:
-    """``stops``: of a gang, one attempt stands for all; ``held_up``: why others stay."""
+    """What to stop now.
+
+    Attributes:
+        stops: attempts to stop; for a gang, one attempt represents all of its members.
+        held_up: reasons why other attempts are not stopped, shown to operators.
+        late: tasks that stay beyond the time limit of their machine, because of the budgets or
+            because no machine is ready for a replica.
+    """
 
     stops: list[DrainCandidate] = field(default_factory=list)
     held_up: list[str] = field(default_factory=list)
-    late: int = 0  # tasks that the budgets keep beyond their machine's limit
+    late: int = 0
 
 
 def decide(
@@ -72,8 +104,16 @@
     disruptions: DisruptionTracker,
     wholes: Mapping[Team, TeamTotals],
 ) -> DrainDecision:
-    """What is to be stopped now. What it grants itself counts in the same decision: the
-    caller notes it, or drops the decision."""
+    """Decides which attempts to stop now.
+
+    Stops that are granted count against the budgets within the same decision, but are not added
+    to ``disruptions``: the caller adds them, or drops the whole decision.
+
+    Args:
+        candidates: the attempts on draining machines.
+        disruptions: what has been disrupted lately, and the budgets.
+        wholes: what each team has on machines.
+    """
     found = DrainDecision()
     reasons: dict[str, None] = {}
     granted: dict[tuple[Team, JobId | None], tuple[int, float]] = {}
@@ -107,17 +147,18 @@
 
 
 def _should_stop(run: DrainCandidate) -> bool:
-    """Should it be stopped now, or is it let end?"""
+    """Tells whether an attempt should be stopped now rather than left to end."""
     if run.service:
         return True
-    left_s = run.limit_s - STOP_LATENCY_S
+    until_limit_s = run.limit_s - STOP_LATENCY_S
     if not run.saves:
-        return run.left_s > left_s  # it can't end in time
-    if left_s <= run.save_s:
-        return True  # its time is over
-    # Saved, it loses nothing, now or later: it moves once a machine stands ready for it.
-    worth_s = min(left_s, MIN_REMAINING_TO_MOVE_S + run.save_s)
-    return run.room_elsewhere and run.left_s > worth_s
+        return run.left_s > until_limit_s  # it can't end in time
+    if until_limit_s <= run.save_s:
+        return True  # the remaining time is only just enough to save, or too short
+    # A stop after saving loses no work, now or later, so it moves once a machine is ready for
+    # it, unless it ends soon anyway.
+    min_left_s = min(until_limit_s, MIN_REMAINING_TO_MOVE_S + run.save_s)
+    return run.room_elsewhere and run.left_s > min_left_s
 
 
 def _refusal(
@@ -126,9 +167,16 @@
     wholes: Mapping[Team, TeamTotals],
     granted: Mapping[tuple[Team, JobId | None], tuple[int, float]],
 ) -> str | None:
+    """Returns why the budgets do not allow stopping an attempt now, or None.
+
+    ``granted`` holds tasks and CPUs of the stops that this decision has granted already, by
+    team and, for services, by job.
+    """
     hit = run.hit
     job = run.attempt.task.job if run.service else None
     tasks = granted.get((run.team, job), (0, 0.0))[0]
-    every = sum(c for (team, _), (_, c) in granted.items() if team == run.team)
-    asked = Disruption(hit.team, hit.job, hit.tasks + tasks, hit.cpus + every, hit.service)
-    return disruptions.refusal(asked, wholes.get(run.team, TeamTotals()), run.replicas, run.up)
+    granted_cpus = sum(c for (team, _), (_, c) in granted.items() if team == run.team)
+    total = Disruption(
+        hit.team, hit.job, hit.tasks + tasks, hit.cpus + granted_cpus, hit.service
+    )
+    return disruptions.refusal(total, wholes.get(run.team, TeamTotals()), run.replicas, run.up)
--- a/dunehold/coordination/maintenance/operator_api.py
+++ b/dunehold/coordination/maintenance/operator_api.py
@@ -1,9 +1,10 @@
-"""What any node does for operators: take orders, change and list them, by guarded transactions.
+"""The operators' HTTP API, which any node serves: submits, changes and lists orders.
 
-Every change raises the serial in the transaction that makes it, guarded by the serial that was
-seen, so two that contradict each other are put in an order: the second is refused with what has
-changed. A repeated request finds its order and is answered alike. Nothing is told before it is
-durable, and reads prove that they are fresh.
+Every change of an order also raises the orders' serial, in one transaction that is guarded by
+the serial that this node has seen. Two changes that contradict each other are thereby
+serialized, and the second is checked again and refused with the reason. A repeated request
+finds its order and gets the same answer. Nothing is answered before it is durable, and every
+read first confirms that this node's view is current.
 """
 
 from __future__ import annotations
@@ -31,26 +32,33 @@
 
 log = logging.getLogger(__name__)
 
-MAX_TRIES = 4
-IN_FORCE_TIMEOUT_S, POLL_INTERVAL_S = (
-    1.0,
-    0.1,
-)  # how long the answer waits for the leader to have the order
-MAX_QUEUE_WAIT_S = 0.5
-MAX_OPEN_ORDERS = 20  # orders under way
+MAX_TRIES = 4  # transactions that are tried for one request
+IN_FORCE_TIMEOUT_S = 1.0  # how long an answer waits until the leader has the order
+POLL_INTERVAL_S = 0.1  # between polls of the leader in that time
+WRITE_OPS = 2.0  # writes of a change: the order and the serial
+MAX_QUEUE_WAIT_S = 0.5  # a change that would wait longer for the write limit is refused
+MAX_OPEN_ORDERS = 20  # orders that have not ended
 NOT_FOUND = Response(404, users.encode_error("no such order"))
 
 
 class OrderConflict(Exception):
-    """An order that contradicts others, with the reason."""
+    """A request contradicts the existing orders; the message says why."""
 
 
-# From the leader: the revision that its view has, and what only it knows of each order.
+# The revision of the leader's view, and what only the leader knows of each order.
 LeaderStatus = tuple[Revision, dict[str, Any]]
 
 
 @dataclass(slots=True)
 class OperatorApi:
+    """Handles the requests of operators on this node.
+
+    Attributes:
+        types: returns the machine types, or None until the cloud has listed them.
+        leader_status: asks the leader for its status; None if it does not answer.
+        wall: returns the time of day, seconds since the epoch.
+    """
+
     settings: Settings
     state: StateClient
     view: View
@@ -60,6 +68,7 @@
     wall: Callable[[], float]
 
     async def handle(self, request: Request) -> Response:
+        """Answers a request; errors become responses with status 400, 404, 405, 409 or 503."""
         path, _, rest = request.path.partition(operators.ORDERS_PATH)
         if path or not request.path.startswith(operators.ORDERS_PATH):
             return Response(404, users.encode_error("no such path"))
@@ -80,7 +89,7 @@
             if request.method == "GET":
                 return await self._list()
             return (
-                await self._place(request.body)
+                await self._submit(request.body)
                 if request.method == "POST"
                 else METHOD_NOT_ALLOWED
             )
@@ -88,15 +97,15 @@
         order = OrderId(name)
         if not action:
             return await self._show(order) if request.method == "GET" else METHOD_NOT_ALLOWED
-        wish = operators.ACTIONS.get(action)
-        if wish is None or not operators.valid_order_id(name):
+        desired = operators.ACTIONS.get(action)
+        if desired is None or not operators.valid_order_id(name):
             return NOT_FOUND
         if request.method != "POST":
             return METHOD_NOT_ALLOWED
         row = codec.load_object(request.body or b"{}")
-        return await self._change(order, wish, operators.decode_seen_serial(row))
+        return await self._change(order, desired, operators.decode_seen_serial(row))
 
-    # -- reading ---------------------------------------------------------------------------
+    # -- queries ---------------------------------------------------------------------------
 
     async def _list(self) -> Response:
         await self.sync.barrier()
@@ -120,7 +129,7 @@
         return Response(200, codec.dump(row | {"serial": self.view.orders_serial}))
 
     def _row(self, order: Order, live: LeaderStatus | None) -> dict[str, Any]:
-        """What is durable of it, and what the leader says if it could be asked."""
+        """Returns an order's durable state, with the leader's status of it if it is known."""
         progress = self.view.order_progress.get(order.id, scope.NOT_BEGUN)
         row = operators.encode_order_row(order) | {
             "stage": progress.stage.value,
@@ -129,12 +138,13 @@
             "why": progress.halt_reason,
             "live": False,
         }
-        told = live[1].get(order.id) if live is not None else None
-        return row if not isinstance(told, dict) else row | told | {"live": True}
+        status = live[1].get(order.id) if live is not None else None
+        return row if not isinstance(status, dict) else row | status | {"live": True}
 
-    # -- writing ---------------------------------------------------------------------------
+    # -- changes ---------------------------------------------------------------------------
 
-    async def _place(self, body: bytes) -> Response:
+    async def _submit(self, body: bytes) -> Response:
+        """Takes a new order, unless it is not valid or contradicts others."""
         order, seen = operators.decode_request(body)
         if self.types() is None:
             return TRY_AGAIN_LATER
@@ -154,74 +164,89 @@
             if known is not None:
                 if known.is_same_request(order):
                     return await self._answer_once_in_force(known, 200)
-                raise OrderConflict(f"order {order.id} is another one already")
+                raise OrderConflict(f"order {order.id} exists already with other contents")
             self._check_seen(seen)
-            rival = scope.conflicting_order(
+            conflicting = scope.conflicting_order(
                 order, self.view.orders, self.view.order_progress, self.view.hosts.values()
             )
-            if rival is not None:
+            if conflicting is not None:
                 raise OrderConflict(
-                    f"order {rival} is to replace some of these machines, or takes them"
+                    f"order {conflicting} already applies to some of these machines"
                 )
-            under_way = sum(
+            open_orders = sum(
                 not scope.has_ended(name, self.view.order_progress) for name in self.view.orders
             )
-            if under_way >= MAX_OPEN_ORDERS:
-                raise OrderConflict(f"{MAX_OPEN_ORDERS} orders are under way: end some first")
+            if open_orders >= MAX_OPEN_ORDERS:
+                raise OrderConflict(
+                    f"{MAX_OPEN_ORDERS} orders have not ended: abort some first"
+                )
             if not self._has_write_capacity():
                 return TRY_AGAIN_LATER
             if await self._write(order, ABSENT):
-                log.info("order %s taken: %s, %s", order.id, order.kind.value, order.reason)
+                log.info(
+                    "order %s accepted: %s, reason: %s",
+                    order.id,
+                    order.kind.value,
+                    order.reason,
+                )
                 return await self._answer_once_in_force(
                     self.view.orders.get(order.id, order), 201
                 )
         return TRY_AGAIN_LATER
 
-    async def _change(self, name: OrderId, wish: DesiredState, seen: int | None) -> Response:
+    async def _change(self, name: OrderId, desired: DesiredState, seen: int | None) -> Response:
+        """Changes the desired state of an order."""
         await self.sync.barrier()
         for _ in range(MAX_TRIES):
             order = self.view.orders.get(name)
             if order is None:
                 return NOT_FOUND
-            over = scope.has_ended(name, self.view.order_progress)
-            if order.desired_state is wish or (
-                over and not (order.keep_rented and wish is DesiredState.ABORT)
+            ended = scope.has_ended(name, self.view.order_progress)
+            if order.desired_state is desired or (
+                ended and not (order.keep_rented and desired is DesiredState.ABORT)
             ):
                 return await self._answer_once_in_force(order, 200)
             if order.desired_state is DesiredState.ABORT:
-                raise OrderConflict(f"order {name} is aborted: that can't be taken back")
+                raise OrderConflict(f"order {name} is aborted, which can't be undone")
             self._check_seen(seen)
             if not self._has_write_capacity():
                 return TRY_AGAIN_LATER
-            if await self._write(replace(order, desired_state=wish), order.version):
-                log.info("order %s: %s", name, wish.value)
+            if await self._write(replace(order, desired_state=desired), order.version):
+                log.info("order %s: desired state is %s", name, desired.value)
                 return await self._answer_once_in_force(self.view.orders.get(name, order), 200)
         return TRY_AGAIN_LATER
 
     def _check_names(self, order: Order) -> None:
+        """Raises BadMessage for unknown types and zones, and for a time limit in the past."""
         types = self.types() or {}
         for name in (
             *order.selection.types,
             *([order.replacement_type] if order.replacement_type else ()),
         ):
             if name not in types:
-                raise BadMessage(f"types: there is no {name}")
+                raise BadMessage(f"types: no such machine type: {name}")
         for zone in order.selection.zones:
             if zone not in self.settings.zones:
-                raise BadMessage(f"zones: there is no {zone}")
+                raise BadMessage(f"zones: no such zone: {zone}")
         if order.ends_at is not None and order.ends_at <= self.wall():
             raise BadMessage("by is in the past")
 
     def _check_seen(self, seen: int | None) -> None:
         if seen is not None and seen != self.view.orders_serial:
-            raise OrderConflict("orders have changed since you looked: look again")
+            raise OrderConflict("orders have changed since this serial: list them again")
 
     def _has_write_capacity(self) -> bool:
-        """Nobody waits in a queue for changes: who would is told at once."""
-        return self.state.write_limiter.wait_s(2.0) <= MAX_QUEUE_WAIT_S
+        """Tells whether a change could be written soon; otherwise it is refused at once."""
+        return self.state.write_limiter.wait_s(WRITE_OPS) <= MAX_QUEUE_WAIT_S
 
     async def _write(self, order: Order, version: Revision) -> bool:
-        """False: something changed meanwhile; look again."""
+        """Writes an order and raises the serial, and brings the view up to date.
+
+        Returns False if an order changed meanwhile; the caller has to check its request again.
+
+        Raises:
+            NoResponse: the state service did not answer, so the order may be written or not.
+        """
         key = records.ORDERS + order.id
         txn = Txn(
             guards={key: version, records.ORDERS_SERIAL: self.view.orders_serial},
@@ -230,22 +255,26 @@
         try:
             result = await self.state.txn(txn, RequestPriority.USER)
         except NoResponse:
-            # It may have been applied: what the view says decides, and a retry finds it.
+            # The transaction may have been applied. The view shows that once it is up to date,
+            # and a repeated request finds the order.
             await self.sync.barrier()
             raise
         await self.sync.barrier()
         return result.ok
 
     async def _answer_once_in_force(self, order: Order, status: int) -> Response:
-        """Once the leader has it, or a second has passed: the answer says which."""
+        """Answers once the leader has the order, or after ``IN_FORCE_TIMEOUT_S``.
+
+        ``in_force`` in the answer tells whether the leader has it.
+        """
         wanted = self.view.applied
-        until = asyncio.get_running_loop().time() + IN_FORCE_TIMEOUT_S
+        deadline = asyncio.get_running_loop().time() + IN_FORCE_TIMEOUT_S
         live: LeaderStatus | None = None
         while True:
             live = await self.leader_status()
             if live is not None and live[0] >= wanted:
                 break
-            if asyncio.get_running_loop().time() > until:
+            if asyncio.get_running_loop().time() > deadline:
                 live = None
                 break
             await asyncio.sleep(POLL_INTERVAL_S)
--- a/dunehold/coordination/maintenance/scope.py
+++ b/dunehold/coordination/maintenance/scope.py
@@ -1,4 +1,4 @@
-"""Which machines each order concerns, at this moment: pure reading of orders and machines."""
+"""Pure functions that tell which machines a maintenance order applies to."""
 
 from __future__ import annotations
 
@@ -10,30 +10,35 @@
 from dunehold.protocol.operators import DesiredState, Order, OrderKind
 from dunehold.types import OrderId, WallTime
 
-NOT_BEGUN = OrderProgress()
+NOT_BEGUN = OrderProgress()  # of an order that has no recorded progress
 
 
 def limited_to_existing(order: Order) -> bool:
-    """Does it mean only machines that there were when it was taken up?"""
+    """Tells whether an order applies only to machines that existed when the leader began it."""
     chosen = order.selection
     bounded = chosen.older_s is not None or chosen.share is not None
     return order.kind is OrderKind.REPLACE or bounded
 
 
 def applies_to(order: Order, progress: OrderProgress, host: Host | HostRecord) -> bool:
-    """Names come in the order in which machines were created: the mark bounds their age."""
+    """Tells whether an order applies to a machine.
+
+    Machine names increase in the order of creation, so ``progress.last_host`` limits the order
+    to machines up to a certain age.
+    """
     if not order.selection.matches(host.id, host.type, host.zone, host.spot):
         return False
     if not limited_to_existing(order):
         return True
     if progress.last_host is None:
-        # Not taken up: a share is known by the names alone, an age is not.
+        # The leader has not begun the order. A share follows from the machine names alone; the
+        # machines of an age are known only once ``last_host`` is set.
         return order.kind is OrderKind.DRAIN and order.selection.older_s is None
     return host.id <= progress.last_host
 
 
 def in_force(order: Order, progress: OrderProgress, wall: WallTime) -> bool:
-    """Does it keep machines out of service now?"""
+    """Tells whether an order keeps any machines out of service now."""
     if order.desired_state is DesiredState.ABORT:
         return False
     if order.begins_at is not None and wall < order.begins_at:
@@ -46,7 +51,7 @@
 def takes_out_of_service(
     order: Order, progress: OrderProgress, host: Host, wall: WallTime
 ) -> bool:
-    """Does this order keep this machine out of service now?"""
+    """Tells whether an order keeps this machine out of service now."""
     if not in_force(order, progress, wall):
         return False
     if order.kind is OrderKind.REPLACE:
@@ -54,34 +59,36 @@
     return applies_to(order, progress, host)
 
 
-def has_ended(order: OrderId, upkeep: Mapping[OrderId, OrderProgress]) -> bool:
-    """Has it ended, by what is durable?"""
-    return upkeep.get(order, NOT_BEGUN).stage.final
+def has_ended(order: OrderId, progress_by_order: Mapping[OrderId, OrderProgress]) -> bool:
+    """Tells whether an order has ended according to its durable progress."""
+    return progress_by_order.get(order, NOT_BEGUN).stage.final
 
 
 def conflicting_order(
     order: Order,
     others: Mapping[OrderId, Order],
-    upkeep: Mapping[OrderId, OrderProgress],
+    progress_by_order: Mapping[OrderId, OrderProgress],
     hosts: Iterable[HostRecord],
 ) -> OrderId | None:
-    """An order under way that would replace machines which this one takes out for good, or the
-    other way round, or that replaces them as well."""
-    rivals = [
+    """Returns an order in progress that conflicts with a new one, or None.
+
+    Two orders conflict if at least one of them replaces machines and both select a machine.
+    """
+    candidates = [
         other
         for other in others.values()
         if other.id != order.id
         and other.desired_state is not DesiredState.ABORT
-        and not has_ended(other.id, upkeep)
+        and not has_ended(other.id, progress_by_order)
         and OrderKind.REPLACE in (other.kind, order.kind)
     ]
-    if not rivals:
+    if not candidates:
         return None
     for host in hosts:
         kind = host.id, host.type, host.zone, host.spot
         if not order.selection.matches(*kind):
             continue
-        for other in rivals:
+        for other in candidates:
             if other.selection.matches(*kind):
                 return other.id
     return None
--- a/dunehold/coordination/zones/__init__.py
+++ b/dunehold/coordination/zones/__init__.py
@@ -1,1 +1,1 @@
-"""Zones: whether each is well, what that means for renting, and who goes first without one."""
+"""Health of zones, limits on renting in them, fair shares and urgency of jobs."""
--- a/dunehold/coordination/zones/health.py
+++ b/dunehold/coordination/zones/health.py
@@ -1,18 +1,22 @@
-"""Whether a zone is well, judged from which of its machines and controllers are heard.
+"""The health of a zone, judged by which of its machines and controllers are reachable.
 
-A pure state machine: evidence and the time go in, the condition comes out.
+``ZoneHealth`` is a pure state machine: it computes the next condition from the evidence and the
+time.
 
-    well -> doubtful -> lost -> returning -> well
-              |                    |
-              +-> well             +-> lost, one flap more
+    HEALTHY -> SUSPECT -> LOST -> RECOVERING -> HEALTHY
+                  |                    |
+                  +-> HEALTHY          +-> LOST, counted as a flap
 
-- *Doubtful*: most machines of every kind there are silent, while other zones are heard. One
-  dead machine type or a wave of spot machines taken back leaves other kinds that are heard.
-- *Lost*: that has lasted ``confirm_s``, and a second witness agrees: another kind of machine,
-  or controllers there that don't answer either. Who hears nobody at all judges nothing, for
-  it may be the side that is cut off.
-- *Returning*: a machine is heard again, or, where no machine is left, a controller. It is
-  trusted after ``trust_s``, which doubles with every flap.
+- SUSPECT: most machines of every kind in the zone are silent, while machines of other zones
+  report. The failure of one machine type, or a wave of reclaimed spot machines, does not make a
+  zone suspect, because machines of other kinds still report.
+- LOST: the zone has been suspect for ``confirm_s`` seconds, and a second source agrees:
+  machines of another kind, or controllers in the zone that do not answer either. A leader that
+  hears no zone at all does not judge, because it may itself be cut off.
+- RECOVERING: a machine reports again or, if no machine is left, a controller answers. The zone
+  is trusted again after ``trust_s`` seconds, which doubles with every flap.
+
+A flap is a loss of the zone while it is recovering.
 """
 
 from __future__ import annotations
@@ -21,16 +25,21 @@
 
 from dunehold.types import MonotonicTime, ZoneCondition
 
-SILENT_SHARE = 0.6  # of a kind's machines: so many silent at once, and the kind is
-TRUSTED_SHARE = 0.5  # of the machines there are heard: it is back
-MAX_TRUST_DELAY_S = 120.0
-FLAP_RESET_S = 600.0  # without a flap, and the ones before count no more
-MAX_FLAPS = 8
+SILENT_SHARE = 0.6  # a kind of machine is silent when this share of its machines is silent
+TRUSTED_SHARE = 0.5  # share of a zone's machines that must report before it is healthy again
+MAX_TRUST_DELAY_S = 120.0  # upper bound of the doubling ``trust_s``
+FLAP_RESET_S = 600.0  # the flap count returns to 0 after this time without a flap
+MAX_FLAPS = 8  # flaps beyond this number are not counted
 
 
 @dataclass(frozen=True, slots=True)
 class KindCounts:
-    """Machines of one type, spot or not, that were up in a zone: all, and those heard."""
+    """Counts machines of one type, either spot or ordinary, in one zone.
+
+    Attributes:
+        machines: machines that should report.
+        heard: machines of these that have reported lately.
+    """
 
     machines: int
     heard: int
@@ -42,10 +51,17 @@
 
 @dataclass(frozen=True, slots=True)
 class Evidence:
-    """What was heard of one zone lately. ``reached`` is None if nobody was asked."""
+    """What is known of one zone at one time.
+
+    Attributes:
+        kinds: machine counts, one for each kind of machine in the zone.
+        others_heard: at least half of the machines of some other zone report.
+        controllers: number of controllers in the zone.
+        reached: number of these controllers that answered; None if they were not polled.
+    """
 
     kinds: tuple[KindCounts, ...]
-    others_heard: bool  # machines of other zones are heard as usual
+    others_heard: bool
     controllers: int = 0
     reached: int | None = None
 
@@ -63,8 +79,11 @@
 
     @property
     def corroborated(self) -> bool:
-        """Does anything but one kind of machine say so? Without controllers there, or with
-        all of them silent, nothing speaks against it."""
+        """Tells whether a second source confirms that the zone is lost.
+
+        The source is a second kind of machine, or controllers none of which answers. A zone
+        without controllers has nothing that could contradict, so it counts as confirmed.
+        """
         if len(self.kinds) > 1 or not self.controllers:
             return True
         return self.reached == 0
@@ -72,30 +91,43 @@
 
 @dataclass(slots=True)
 class ZoneHealth:
-    """The condition of one zone. Times are of the steady clock of whoever judges."""
+    """The condition of one zone. Times are of this process's monotonic clock.
+
+    Attributes:
+        confirm_s: seconds for which a zone must be suspect before it counts as lost.
+        trust_s: seconds for which a recovering zone must report before it is trusted, if it has
+            not flapped.
+        condition: the present condition.
+        since: when the condition began.
+        flaps: losses while recovering, without those before a pause of ``FLAP_RESET_S``.
+        size: machines in the zone when it was last healthy.
+    """
 
     confirm_s: float
     trust_s: float
     condition: ZoneCondition = ZoneCondition.HEALTHY
     since: MonotonicTime = MonotonicTime(-1e9)
     flaps: int = 0
-    size: int = 0  # machines that were up when it was last well
+    size: int = 0
     _flapped_at: MonotonicTime = field(default=MonotonicTime(-1e9))
 
     @property
     def trust_delay_s(self) -> float:
-        """How long it must be heard before it is trusted."""
+        """Seconds for which a recovering zone must report before it is trusted."""
         return float(min(MAX_TRUST_DELAY_S, self.trust_s * 2**self.flaps))
 
     def restore(
         self, condition: ZoneCondition, flaps: int, size: int, now: MonotonicTime
     ) -> None:
-        """As a leader before left it; its moments are of another clock."""
+        """Sets the condition that a previous leader recorded.
+
+        Its times were of another clock, so the condition counts from ``now``.
+        """
         self.condition, self.flaps, self.size = condition, min(flaps, MAX_FLAPS), size
         self.since = self._flapped_at = now
 
     def update(self, seen: Evidence, now: MonotonicTime) -> bool:
-        """Take the evidence in; true if the condition changed."""
+        """Updates the condition by the evidence. Returns True if the condition changed."""
         if self.flaps and now - self._flapped_at > FLAP_RESET_S:
             self.flaps = 0
         after = self._next_condition(seen, now)
@@ -118,10 +150,11 @@
             if not seen.silent:
                 return ZoneCondition.HEALTHY
             if not seen.others_heard:
-                self.since = now  # nobody is heard: this says nothing of the zone
+                # No other zone reports either, so this node may be cut off: start over.
+                self.since = now
                 return ZoneCondition.SUSPECT
-            sure = lasted >= self.confirm_s and seen.corroborated
-            return ZoneCondition.LOST if sure else ZoneCondition.SUSPECT
+            confirmed = lasted >= self.confirm_s and seen.corroborated
+            return ZoneCondition.LOST if confirmed else ZoneCondition.SUSPECT
         if self.condition is ZoneCondition.LOST:
             answered = not seen.machines and bool(seen.reached)
             return ZoneCondition.RECOVERING if seen.heard or answered else ZoneCondition.LOST
--- a/dunehold/coordination/zones/monitor.py
+++ b/dunehold/coordination/zones/monitor.py
@@ -1,7 +1,8 @@
-"""The leader's watch over its zones: evidence, durable conditions, bounds on rentals.
+"""Monitors the health of the zones for the leader and limits renting by it.
 
-Nothing here allows a start or takes a task for gone: that is the ledger's. A wrong judgement
-costs rented machines or time, and no rule.
+The monitor collects evidence, records conditions durably and bounds rentals. It neither permits
+starts nor declares tasks gone; the ledger does that. A wrong judgement therefore costs rented
+machines or time, but violates no guarantee of the scheduler.
 """
 
 from __future__ import annotations
@@ -29,37 +30,51 @@
 
 log = logging.getLogger(__name__)
 
-PEER_POLL_INTERVAL_S = 2.0  # between questions to the controllers of a zone that is not well
-CONFIRM_REPORT_INTERVALS = 1.0  # how many report intervals doubt must last
-TRUST_REPORT_INTERVALS = 1.0
-SENTINELS_PER_ZONE = 2  # silent machines that are kept, to hear of the return
-MIN_PROBE_INTERVAL_S, MAX_PROBE_INTERVAL_S = (
-    30.0,
-    300.0,
-)  # between probes, where no machine is left to hear
-RAMP_STEP_SHARE, MIN_RAMP_STEP_HOSTS = (
-    0.1,
-    4,
-)  # of its former size, rented before a zone is trusted
-HANDOVER_SIZE_RATIO = (
-    1.5  # times the machines heard: a zone that works on without us takes the lead
-)
-FLAP_PENALTY_S, MAX_FLAP_PENALTY_S = 15.0, 60.0  # of machines in a zone that flaps
+PEER_POLL_INTERVAL_S = 2.0  # between polls of the controllers of a zone that is not healthy
+CONFIRM_REPORT_INTERVALS = 1.0  # ``ZoneHealth.confirm_s`` in report intervals
+TRUST_REPORT_INTERVALS = 1.0  # ``ZoneHealth.trust_s`` in report intervals
+SENTINELS_PER_ZONE = 2  # silent machines that are kept in a lost zone to detect its recovery
+# The interval between probe rentals in a lost zone without machines; it doubles each time.
+MIN_PROBE_INTERVAL_S = 30.0
+MAX_PROBE_INTERVAL_S = 300.0
+# Machines that may be booting at one time in a recovering zone: a share of its former size,
+# and a lower bound.
+RAMP_STEP_SHARE = 0.1
+MIN_RAMP_STEP_HOSTS = 4
+# Leadership moves to a zone beyond a partition, whose relays keep its machines working, if that
+# zone had more than this many times the machines that this leader hears.
+HANDOVER_SIZE_RATIO = 1.5
+# Added to the cost of a start on a machine in a zone that is not healthy, for each flap, and
+# the upper bound.
+FLAP_PENALTY_S = 15.0
+MAX_FLAP_PENALTY_S = 60.0
 
 
 @dataclass(slots=True)
 class _Probe:
+    """When the next probe machine may be rented in a lost zone."""
+
     gap_s: float = MIN_PROBE_INTERVAL_S
     next_at: MonotonicTime = MonotonicTime(-1e9)
 
 
 @dataclass(slots=True)
 class ZoneMonitor:
+    """Judges the health of all zones and derives limits from it.
+
+    Attributes:
+        reaches: polls a controller and returns whether it answers.
+        report_timeout_s: a machine is silent after this many seconds without a report.
+        persist_records: writes the zones' conditions to the state service.
+        zones: the health of each zone.
+        sentinels: silent machines that are kept in lost zones.
+    """
+
     settings: Settings
     ledger: Ledger
     types: dict[TypeName, MachineType]
     reaches: Callable[[NodeId], Awaitable[bool]]
-    report_timeout_s: float  # so long without a report, and a machine is silent
+    report_timeout_s: float
     persist_records: Callable[[dict[Zone, ZoneRecord]], None]
     zones: dict[Zone, ZoneHealth] = field(default_factory=dict)
     sentinels: set[HostId] = field(default_factory=set)
@@ -74,20 +89,27 @@
             )
 
     def restore(self, found: dict[Zone, ZoneRecord], now: MonotonicTime) -> None:
-        """Begin with what the leader before knew: it is not learnt by a wave of rentals."""
+        """Sets the conditions that the previous leader recorded.
+
+        Without them, this leader would rent machines in a lost zone before it found the loss.
+        """
         for zone, record in found.items():
             if zone in self.zones:
                 self.zones[zone].restore(
                     record.condition, record.flaps, record.healthy_host_count, now
                 )
-                log.info("zone %s is %s by record", zone, record.condition.value)
+                log.info("zone %s: recorded condition is %s", zone, record.condition.value)
 
-    # -- judging -------------------------------------------------------------------------
+    # -- evaluation ------------------------------------------------------------------------
 
     def evaluate(self, now: MonotonicTime, attentive_since: MonotonicTime) -> set[Zone]:
-        """Judge every zone anew; those whose condition changed."""
+        """Updates the condition of every zone and returns the zones whose condition changed.
+
+        ``attentive_since`` is the time since which this node has received reports without a
+        break. Until that is longer ago than the report timeout, nothing is judged.
+        """
         if now - attentive_since <= self.report_timeout_s:
-            return set()  # this node itself heard nobody: it can't tell yet
+            return set()  # the machines have not had time to report to this node
         seen = self._evidence(now)
         heard = {zone for zone, one in seen.items() if 0 < one.machines <= 2 * one.heard}
         changed = set()
@@ -97,7 +119,7 @@
             if health.update(judged, now):
                 changed.add(zone)
                 log.info(
-                    "zone %s is %s, was %s: %d of %d machines heard, %s of %d controllers",
+                    "zone %s is %s, was %s: %d of %d machines and %s of %d controllers heard",
                     zone,
                     health.condition.value,
                     before.value,
@@ -138,20 +160,24 @@
         }
 
     def _should_be_heard(self, host: Host, now: MonotonicTime) -> bool:
-        """Silent, and long enough to say something of its zone."""
+        """Tells whether the silence of a silent machine is evidence against its zone."""
         if host.last_heard_at > NEVER_HEARD:
             return True
         if host.created_at == self.ledger.took_over_at:
-            # On record, but never heard: not yet, or it is not to be heard.
+            # Known by its record alone. Within two report timeouts it may still report, unless
+            # its zone is lost.
             return self.is_lost(host.zone) or now - host.created_at > 2 * self.report_timeout_s
-        # Rented into a zone that is not well: what does not come up speaks against it.
+        # In a zone that is not healthy, a machine that does not boot is evidence of the loss.
         if self.zones[host.zone].condition is ZoneCondition.HEALTHY:
             return False
         kind = self.types.get(host.type)
         return kind is not None and now - host.created_at > 2 * kind.boot_s
 
     async def poll_peers(self) -> None:
-        """Do the controllers of zones that are not well answer? Nobody is asked otherwise."""
+        """Polls the controllers of zones that are not healthy until it is cancelled.
+
+        Controllers of healthy zones are not polled.
+        """
         while True:
             await asyncio.sleep(PEER_POLL_INTERVAL_S)
             for zone, health in self.zones.items():
@@ -163,7 +189,10 @@
                 self._reachable_peers[zone] = sum(answers)
 
     def records(self) -> dict[Zone, ZoneRecord]:
-        """What a next leader should begin with: nothing of zones that are and were well."""
+        """Returns the records of zones that a next leader should start from.
+
+        These are the zones that are lost, recovering or have flapped.
+        """
         return {
             zone: ZoneRecord(health.condition, health.flaps, health.size)
             for zone, health in self.zones.items()
@@ -171,9 +200,10 @@
             or health.flaps
         }
 
-    # -- what follows from it --------------------------------------------------------------
+    # -- consequences ----------------------------------------------------------------------
 
     def condition(self, zone: Zone) -> ZoneCondition:
+        """Returns the condition of a zone; a zone that is not in the settings is healthy."""
         health = self.zones.get(zone)
         return health.condition if health is not None else ZoneCondition.HEALTHY
 
@@ -185,16 +215,20 @@
         return any(health.condition is ZoneCondition.LOST for health in self.zones.values())
 
     def is_relayed(self, zone: Zone, now: MonotonicTime) -> bool:
-        """A node there feeds its workers, which go on with what they have."""
+        """Tells whether a relay in the zone renews its workers' leases, so that they go on."""
         return now < self.ledger.relayed_until.get(zone, MonotonicTime(-1e9))
 
     def preferred_leader_zone(self, now: MonotonicTime) -> Zone | None:
-        """A zone beyond a partition with so many more machines that the lead belongs there.
+        """Returns a zone beyond a partition that should lead, or None.
+
+        It had more than ``HANDOVER_SIZE_RATIO`` times the machines that this leader hears now.
+        A node in that zone relays for its workers, so it reaches the state service and can
+        lead. Machines there that are idle or become idle get no work until a leader reaches
+        them. Two conditions prevent leadership from moving back and forth:
 
-        A node there feeds its workers, so it reaches the state service and can lead; all that
-        is idle or ends there waits for a leader that it can hear. Never for a zone that flaps:
-        the lead would go with it; and only by a loss that this leader saw itself, from a zone
-        that is there: one that takes over there finds the zone lost by record.
+        - The zone has no flaps, since leadership would move with each of them.
+        - This leader saw the loss itself, and its own zone is not lost: a leader that takes
+          over in the lost zone starts from a record by which that zone is lost.
         """
         if self.is_lost(self.settings.zone):
             return None
@@ -217,40 +251,50 @@
         return None
 
     def presumed_lost(self, host: Host) -> bool:
-        """Not counted on when machines are rented: it is silent in a lost zone."""
+        """Tells whether a machine is in a lost zone and has not reported to this leader.
+
+        Such a machine does not count as capacity when machines are rented.
+        """
         return not host.session_known and self.is_lost(host.zone)
 
     def penalty_s(self, zone: Zone) -> float:
-        """What a start there costs in the order of machines: work may be lost once more."""
+        """Returns the cost, in seconds, that is added to a start in the zone.
+
+        It makes machines of a zone that flaps less preferred, because work there may be lost
+        once more.
+        """
         health = self.zones.get(zone)
         if health is None or health.condition is ZoneCondition.HEALTHY:
             return 0.0
         return min(MAX_FLAP_PENALTY_S, FLAP_PENALTY_S * health.flaps)
 
     def rent_limit(self, zone: Zone) -> int:
-        """How many machines may be rented there now, probes aside."""
+        """Returns how many machines may be rented in the zone now, apart from probes."""
         health = self.zones.get(zone)
         if health is None or health.condition is ZoneCondition.HEALTHY:
             return UNBOUNDED
         if health.condition is not ZoneCondition.RECOVERING:
             return 0
         step = max(MIN_RAMP_STEP_HOSTS, int(RAMP_STEP_SHARE * health.size))
-        coming = sum(
+        booting = sum(
             host.zone == zone
             and not host.up
             and host.lease_renewed_at is None
             and not host.deleting
             for host in self.ledger.hosts.values()
         )
-        return max(0, step - coming)
+        return max(0, step - booting)
 
     def rentable(self, zone: Zone) -> bool:
-        """May machines be rented there at all, if only in steps?"""
+        """Tells whether machines may be rented in the zone at all, even if only in steps."""
         return self.condition(zone) in (ZoneCondition.HEALTHY, ZoneCondition.RECOVERING)
 
     def zones_to_probe(self, now: MonotonicTime) -> list[Zone]:
-        """Lost zones in which a machine is to be rented, ever more seldom, to hear of the
-        return: those where none is left that could tell of it."""
+        """Returns the lost zones in which a probe machine is to be rented now.
+
+        A lost zone without any machine is probed, since no other machine can report that the
+        zone is reachable again. The interval between probes doubles each time.
+        """
         due = []
         for zone, health in self.zones.items():
             if health.condition is not ZoneCondition.LOST:
@@ -265,7 +309,7 @@
         return due
 
     def _choose_sentinels(self) -> None:
-        """In every lost zone a few machines stay, though they are silent."""
+        """Chooses machines of each lost zone that are kept although they are silent."""
         hosts = self.ledger.hosts
         self.sentinels = {
             name
@@ -292,7 +336,11 @@
             self.sentinels |= {host.id for host in silent[:wanted]}
 
     def _sentinel_order(self, host: Host) -> tuple[bool, bool, float, HostId]:
-        """Ordinary machines that were up are not taken back, and can speak at once."""
+        """Sort key: machines that have been up first, then ordinary ones, then cheap ones.
+
+        A machine that has been up can report as soon as the zone is reachable, and an ordinary
+        machine is not reclaimed by the cloud.
+        """
         return host.last_heard_at <= NEVER_HEARD, host.spot, self._price(host), host.id
 
     def _price(self, host: Host) -> float:
--- a/dunehold/coordination/zones/shares.py
+++ b/dunehold/coordination/zones/shares.py
@@ -1,8 +1,8 @@
-"""Room divided by weight: nobody gets more than it wants, and none takes another's.
+"""Weighted max-min fairness: divides capacity by weight, up to what each party wants.
 
-Weighted max-min fairness: room is handed out by weight until the first has all it wants; what
-that one leaves goes to the others by their weights, and so on. So the least served, by weight,
-is served as well as can be.
+Capacity is divided in proportion to the weights until one party has all that it wants; the rest
+is divided among the others by their weights, and so on. This maximizes the allocation of the
+party that gets least for its weight.
 """
 
 from __future__ import annotations
@@ -17,17 +17,19 @@
 def fair_shares(
     room: float, wants: Mapping[K, float], weights: Mapping[K, float]
 ) -> dict[K, float]:
-    """How much of ``room`` each gets, in the unit of ``room`` and ``wants``.
+    """Returns how much of ``room`` each key gets, in the unit of ``room`` and ``wants``.
 
-    Without a weight above 0 one gets nothing before all others have what they want; what is
-    left then goes to those in the order of their names.
+    A key without a weight above 0 gets nothing before all weighted keys have what they want.
+    What is left goes to the keys without a weight in the order of their names.
     """
     shares = dict.fromkeys(wants, 0.0)
     left = max(0.0, room)
     weighted = {key: weights.get(key, 0.0) for key in wants if weights.get(key, 0.0) > 0}
-    # By what one wants for each unit of weight: who is satisfied first comes first.
+    # In order of what each wants per unit of weight: whoever is satisfied first comes first.
     order = sorted(weighted, key=lambda key: wants[key] / weighted[key])
-    # Of each and all after it, summed from the end: subtracted, they would drift below one.
+    # The weight of each key and all keys after it, summed from the end: subtracting weights
+    # from the total instead would accumulate rounding errors, and the total could fall below
+    # the weight of the last key, which would then get more than is left.
     totals = list(accumulate(weighted[key] for key in reversed(order)))
     for key, total in zip(order, reversed(totals), strict=True):
         shares[key] = max(0.0, min(wants[key], left * (weighted[key] / total)))
--- a/dunehold/coordination/zones/urgency.py
+++ b/dunehold/coordination/zones/urgency.py
@@ -1,13 +1,14 @@
-"""Who goes first, within a rank, when there is not room for all (see docs/design.md).
+"""The order of jobs of one rank when there is not enough capacity (see docs/design.md).
 
 1. services of which no replica is up,
-2. services with less than half of theirs up,
-3. what lies within its team's guarantee,
-4. all else, by the time to spare before the next aim that can still be met.
-
-Rank goes before all of it: that is what the rules of preemption allow. A job that has missed
-its aims steps back among its like and rises again as its next rung comes near, so nothing waits
-for ever; that is decided in ``picture/aims.py``.
+2. services with less than half of their replicas up,
+3. work within its team's guarantee,
+4. everything else, by the time left until the next objective that can still be met.
+
+Rank comes before all of these, because the rules of preemption work by rank. A job that has
+missed its objectives gets a later target, a multiple of the last one, and moves up again as
+that target comes near, so no job waits for ever; ``planning/objectives.py`` computes the
+targets.
 """
 
 from __future__ import annotations
@@ -16,7 +17,7 @@
 
 
 class Urgency(IntEnum):
-    """Lower goes first."""
+    """The urgency of a job; lower values go first."""
 
     DOWN = 0
     DEGRADED = 1
@@ -24,7 +25,13 @@
 
 
 def urgency(service: bool, replicas: int, up: int) -> Urgency:
-    """Of a job with so many replicas wanted, and so many that are or may be up."""
+    """Returns the urgency of a job.
+
+    Args:
+        service: whether the job is a service; other jobs are always ``NORMAL``.
+        replicas: wanted replicas.
+        up: replicas that are up or may be up.
+    """
     if not service:
         return Urgency.NORMAL
     if up <= 0:
--- a/dunehold/operator_commands.py
+++ b/dunehold/operator_commands.py
@@ -1,4 +1,7 @@
-"""Operators' commands: drain, undrain, replace, pause, resume, abort, orders, show."""
+"""The operators' commands: drain, undrain, replace, pause, resume, abort, orders, show.
+
+Each command sends one request to the operators' port of a controller and prints the answer.
+"""
 
 from __future__ import annotations
 
@@ -17,47 +20,56 @@
 from dunehold.transport.http import HttpClient, NoResponse, parse_address
 from dunehold.types import OrderId
 
+# Actions of the operators' API on an existing order.
 ACTION_BY_COMMAND = {"undrain": "abort", "abort": "abort", "pause": "pause", "resume": "resume"}
 COMMANDS = ("drain", "replace", *ACTION_BY_COMMAND, "orders", "show")
-EXIT_FAILED, EXIT_USAGE = 1, 2
-TIMEOUT_S = 5.0
+EXIT_FAILED = 1  # no answer, or the request was refused
+EXIT_USAGE = 2  # the command line or the request is not valid
+TIMEOUT_S = 5.0  # default of --timeout
 UNIT_SECONDS = {"s": 1.0, "m": 60.0, "h": 3600.0, "d": 86400.0}
 
 
 def add_parsers(commands: Any) -> None:
+    """Adds the operators' sub-commands to the sub-parsers of the command line."""
     drain = commands.add_parser("drain", help="take machines out of service")
-    replace = commands.add_parser("replace", help="replace machines by fresh ones, in steps")
+    replace = commands.add_parser("replace", help="replace machines by new ones, in waves")
     for command in (drain, replace):
         _add_selection(command)
     drain.add_argument(
-        "--from", dest="begins", metavar="TIME", help="a window that begins then"
+        "--from", dest="begins", metavar="TIME", help="when the maintenance window begins"
+    )
+    drain.add_argument("--by", metavar="TIME", help="when the machines have to be empty")
+    drain.add_argument(
+        "--keep", action="store_true", help="keep the machines rented once they are empty"
     )
-    drain.add_argument("--by", metavar="TIME", help="when the machines are to be empty")
-    drain.add_argument("--keep", action="store_true", help="keep them rented once empty")
-    replace.add_argument("--to", metavar="TYPE", help="by machines of another type")
+    replace.add_argument("--to", metavar="TYPE", help="replace by machines of another type")
     replace.add_argument(
-        "--within", metavar="SPAN", help="how long a machine in hand may take to run empty"
+        "--within", metavar="SPAN", help="how long the machines of a wave may take to drain"
     )
     for name, text in (
         ("undrain", "put machines back into service"),
-        ("abort", "end an order where it is"),
-        ("pause", "stop and take nothing more for an order"),
-        ("resume", "go on with an order"),
-        ("show", "one order: how far it is and what holds it up"),
+        ("abort", "end an order at its present state"),
+        ("pause", "stop no more work and take no more machines for an order"),
+        ("resume", "continue a paused order"),
+        ("show", "show the progress of one order and what it waits for"),
     ):
         command = commands.add_parser(name, help=text)
         command.add_argument("order", help="the order's id")
-    commands.add_parser("orders", help="all orders, those that ended lately included")
+    commands.add_parser("orders", help="list all orders, including those that ended lately")
     for name in COMMANDS:
         command = commands.choices[name]
         command.add_argument(
-            "--server", default="127.0.0.1:8082", help="HOST:PORT of any controller's operators"
+            "--server",
+            default="127.0.0.1:8082",
+            help="HOST:PORT of any controller's operator port",
         )
         command.add_argument("--timeout", type=float, default=TIMEOUT_S)
-        command.add_argument("--json", action="store_true", help="print the answer as it came")
+        command.add_argument("--json", action="store_true", help="print the answer as JSON")
         if name not in ("orders", "show"):
             command.add_argument(
-                "--seen", type=int, help="refuse if any order has changed since this serial"
+                "--seen",
+                type=int,
+                help="refuse if any order has changed since this serial of the list",
             )
 
 
@@ -68,22 +80,34 @@
     kind = command.add_mutually_exclusive_group()
     kind.add_argument("--spot", action="store_true", default=None)
     kind.add_argument("--ordinary", dest="spot", action="store_false")
-    command.add_argument("--older", metavar="SPAN", help="only machines rented longer ago")
-    command.add_argument("--share", metavar="SHARE", help="a part of them, such as 10%%")
+    command.add_argument(
+        "--older", metavar="SPAN", help="only machines rented longer ago than this"
+    )
+    command.add_argument(
+        "--share", metavar="SHARE", help="only a share of the machines, such as 10%%"
+    )
     command.add_argument("--reason", default="")
-    command.add_argument("--id", help="names the order, so that it can be sent again safely")
+    command.add_argument("--id", help="id of the order, so that it can be sent again safely")
 
 
 def parse_duration_s(text: str) -> float:
-    """``90``, ``90s``, ``15m``, ``2h``, ``1d``; ValueError for anything else."""
+    """Parses a duration such as ``90``, ``90s``, ``15m``, ``2h`` or ``1d`` into seconds.
+
+    Raises:
+        ValueError: the text is not a duration.
+    """
     found = re.fullmatch(r"(\d+(?:\.\d+)?)([smhd]?)", text)
     if found is None:
-        raise ValueError(f"{text}: not a span of time such as 90s, 15m or 2h")
+        raise ValueError(f"{text}: not a duration such as 90s, 15m or 2h")
     return float(found[1]) * UNIT_SECONDS[found[2] or "s"]
 
 
 def parse_time_s(text: str, now: float) -> float:
-    """``+15m`` from now, or seconds since the epoch."""
+    """Parses a time: a duration from ``now`` such as ``+15m``, or seconds since the epoch.
+
+    Raises:
+        ValueError: the text is not a time.
+    """
     if text.startswith("+"):
         return round(now + parse_duration_s(text[1:]), 3)
     if re.fullmatch(r"\d{9,}(\.\d+)?", text) is None:
@@ -99,7 +123,11 @@
 
 
 def build_order(options: argparse.Namespace, now: float) -> Order:
-    """ValueError or BadMessage with one line that says what is wrong."""
+    """Builds the order of a ``drain`` or ``replace`` command line.
+
+    Raises:
+        ValueError, BadMessage: an option is not valid; the message is one line that says why.
+    """
     row: dict[str, Any] = {
         "kind": options.command,
         "hosts": options.hosts,
@@ -121,11 +149,12 @@
         row["within_s"] = None if options.within is None else parse_duration_s(options.within)
     name = options.id or f"{options.command}-{secrets.token_hex(4)}"
     if not operators.valid_order_id(name):
-        raise ValueError(f"{name}: not an order's id: letters, digits, - and _")
+        raise ValueError(f"{name}: not an order's id: use letters, digits, - and _")
     return operators.decode_order_fields(OrderId(name), row)
 
 
 def run(options: argparse.Namespace) -> int:
+    """Sends the command's request, prints the answer and returns the exit code."""
     address = parse_address(options.server)
     if address is None:
         return _usage("--server: must be HOST:PORT")
@@ -149,6 +178,7 @@
         status, data = asyncio.run(client.request(method, target, body, options.timeout))
         row = codec.load_object(data)
     except (NoResponse, BadMessage) as error:
+        # Sent again with its id, an order that was taken is not taken twice.
         again = f" with --id {order.id}" if options.command in ("drain", "replace") else ""
         print(
             f"dunehold: {options.server}: no answer ({error}); try again{again}",
