--- a/dunehold/__init__.py
+++ b/dunehold/__init__.py
@@ -1,1 +1,1 @@
-"""dunehold: a cluster scheduler that rents its machines."""
+"""dunehold, a cluster scheduler that rents its machines from a cloud."""
--- a/dunehold/__main__.py
+++ b/dunehold/__main__.py
@@ -1,4 +1,4 @@
-"""``python3 -m dunehold``."""
+"""Entry point of ``python3 -m dunehold``."""
 
 import sys
 
--- a/dunehold/cli.py
+++ b/dunehold/cli.py
@@ -1,4 +1,4 @@
-"""The command line: serve, check-config, users' and operators' commands; the emulator's."""
+"""The command line: the controller, the users', the operators' and the emulator's commands."""
 
 from __future__ import annotations
 
@@ -16,12 +16,14 @@
 from dunehold.settings import Settings, SettingsError
 
 OPERATOR_FILE = Path(__file__).resolve().parent.parent / "deploy" / "operator.sexp"
-EXIT_FAILED, EXIT_USAGE = 1, 2
+EXIT_FAILED = 1  # no answer, or the request was refused
+EXIT_USAGE = 2  # wrong arguments, settings or files
 EMULATOR_COMMANDS = ("up", "emulate", "experiment", "fault", "check-history")
 LEVELS = {"error": logging.ERROR, "info": logging.INFO, "debug": logging.DEBUG}
 
 
 def build_parser(emulator: bool = True) -> argparse.ArgumentParser:
+    """Builds the parser; ``emulator`` adds the operators' and the emulator's commands."""
     parser = argparse.ArgumentParser(prog="dunehold", description="A cluster scheduler.")
     commands = parser.add_subparsers(dest="command", required=True)
     serve = commands.add_parser("serve", help="run one controller until it is killed")
@@ -68,7 +70,10 @@
 
 
 def _add_emulator(commands: Any) -> None:
-    """A controller's machine need not have what the emulator needs."""
+    """Adds the emulator's commands, or stubs if the packages that it needs are not installed.
+
+    A controller's machine need not have those packages.
+    """
     try:
         from dunehold.emulator.commands import add_parsers
     except ImportError as error:
@@ -95,8 +100,9 @@
 
 
 def main(arguments: list[str] | None = None) -> int:
+    """Runs a command and returns its exit code."""
     given = sys.argv[1:] if arguments is None else arguments
-    # A controller loads nothing of the emulator.
+    # A controller must not load any module of the emulator.
     options = build_parser(emulator=given[:1] not in (["serve"], ["check-config"])).parse_args(
         given
     )
@@ -118,6 +124,7 @@
 
 
 def _load(options: argparse.Namespace) -> Settings:
+    """Reads the settings; deploy/operator.sexp is used if no other operators' file is given."""
     operator = options.operator
     if operator is None and OPERATOR_FILE.exists():
         operator = OPERATOR_FILE
@@ -125,6 +132,7 @@
 
 
 def _serve(settings: Settings) -> int:
+    """Runs a controller; returns only after an error or an interrupt."""
     name = os.environ.get("LOG_LEVEL", "info").lower()
     logging.basicConfig(
         stream=sys.stderr,
@@ -132,18 +140,18 @@
         format="%(levelname).1s %(name)s: %(message)s",
     )
     logging.getLogger("asyncio").setLevel(logging.ERROR)
-    from dunehold.coordination.node import Node  # the client commands need none of it
+    from dunehold.coordination.node import Node  # client commands don't need it
     from dunehold.transport.http import HttpClient
 
-    local = settings.listen.host if settings.operator.bind_outgoing else None
+    local_host = settings.listen.host if settings.operator.bind_outgoing else None
 
-    def connect(host: str, port: int, links: int) -> HttpClient:
-        return HttpClient(host, port, links, local)
+    def connect(host: str, port: int, max_connections: int) -> HttpClient:
+        return HttpClient(host, port, max_connections, local_host)
 
     async def run() -> None:
         await Node(settings, connect).run()
 
-    # What is loaded by now stays: the collector need not look at it again and again.
+    # Objects loaded so far stay for good, so the garbage collector need not scan them again.
     gc.collect()
     gc.freeze()
     try:
@@ -157,6 +165,7 @@
 
 
 def _client(options: argparse.Namespace) -> int:
+    """Runs a command that sends one request to a controller, and prints the answer."""
     from dunehold.protocol import codec, peers, users
     from dunehold.transport.http import HttpClient, NoResponse, parse_address
 
@@ -216,7 +225,7 @@
 
 
 def _print_unmet_dependencies(options: argparse.Namespace) -> int:
-    """Which jobs this one waits for; the users' interface does not say so."""
+    """Prints the jobs that this one waits for, which the users' API does not tell."""
     from dunehold.protocol import codec, peers
     from dunehold.transport.http import HttpClient, NoResponse, parse_address
 
--- a/dunehold/coordination/__init__.py
+++ b/dunehold/coordination/__init__.py
@@ -1,1 +1,1 @@
-"""Who leads, what is told to whom, and what runs where."""
+"""The controller: leader election, scheduling, the fleet, maintenance and the users' API."""
--- a/dunehold/coordination/users/__init__.py
+++ b/dunehold/coordination/users/__init__.py
@@ -1,1 +1,1 @@
-"""What any node does for users: submissions, questions, cancellations."""
+"""The users' API, which every node serves: submissions, queries and cancellations."""
--- a/dunehold/coordination/users/served.py
+++ b/dunehold/coordination/users/served.py
@@ -1,9 +1,9 @@
-"""What is served: for each class and team, what was asked for and what of it is done.
+"""Service statistics: how much of the requested work is done, for each class and team.
 
-Any node can tell, from its view alone: an ended job's description is not kept, so it is noted
-while the job is known. What ended before this node was up is not counted; ``since_s`` says how
-long it has counted. Work is in CPU-seconds by the owners' estimates, which are what can be
-known of work that has not run.
+Any node computes them from its view alone. The view does not keep the description of an ended
+job, so it is kept here while the job is active. Jobs that ended before this node started are
+not counted; ``since_s`` says for how long this node has counted. Work is in CPU-seconds by the
+owners' estimates, since nothing else is known of work that has not run.
 """
 
 from __future__ import annotations
@@ -22,37 +22,42 @@
 
 @dataclass(slots=True)
 class Tally:
-    """Of a class or a team. Jobs that their users cancelled are asked for by nobody."""
+    """Counts for one class or team.
+
+    Cancelled jobs are counted in ``cancelled`` only, since nobody requests their work any more.
+    """
 
     jobs: int = 0
     done: int = 0
     cancelled: int = 0
-    in_time: int = 0  # done within the first of their aims, where they have any
-    timed: int = 0  # done, and had one
-    cpu_s: float = 0.0
-    served_cpu_s: float = 0.0
+    in_time: int = 0  # done within the earliest of their completion targets
+    timed: int = 0  # done, and had a completion target
+    cpu_s: float = 0.0  # requested work, CPU-seconds
+    served_cpu_s: float = 0.0  # part of it that is done, CPU-seconds
 
     @property
     def share(self) -> float:
-        """Of the work asked for, what is done; 1.0 where nothing was asked for."""
+        """Part of the requested work that is done; 1.0 if none was requested."""
         return self.served_cpu_s / self.cpu_s if self.cpu_s > 0 else 1.0
 
 
 @dataclass(slots=True)
 class Served:
+    """Counts ended jobs as the view changes, and sums up ended and active ones on request."""
+
     settings: Settings
     view: View
-    wall: Callable[[], float]
+    wall: Callable[[], float]  # time of day, seconds
     classes: dict[str, Tally] = field(default_factory=dict)
     teams: dict[str, Tally] = field(default_factory=dict)
     began_at: float = field(init=False)
-    _open: dict[JobId, JobSpec] = field(default_factory=dict)
+    _open: dict[JobId, JobSpec] = field(default_factory=dict)  # active jobs
 
     def __post_init__(self) -> None:
         self.began_at = self.wall()
 
     def record_changes(self, touched: Iterable[JobId]) -> None:
-        """Jobs that have changed in the view."""
+        """Takes in the jobs whose records have changed in the view."""
         for job in touched:
             record = self.view.jobs.get(job)
             if record is None:
@@ -82,25 +87,28 @@
         tally.cpu_s += _estimated_cpu_s(spec)
         tally.served_cpu_s += _estimated_cpu_s(spec)
         waited_s = record.eligible_at - record.accepted_at
-        limits = [completion_target_s(aim, spec, waited_s) for aim in self.settings.objectives]
+        limits = [
+            completion_target_s(objective, spec, waited_s)
+            for objective in self.settings.objectives
+        ]
         known = [limit for limit in limits if limit is not None]
         if known:
             tally.timed += 1
             tally.in_time += self.wall() - record.eligible_at <= min(known)
 
     def summary(self) -> dict[str, Any]:
-        """As operators are answered: by class and team, jobs under way included."""
+        """The answer to operators: zones, and counts by class and team with active jobs."""
         classes = {name: _copy(tally) for name, tally in self.classes.items()}
         teams = {name: _copy(tally) for name, tally in self.teams.items()}
         for job, spec in self._open.items():
             record = self.view.active.get(job)
             if record is None or spec.kind is JobKind.SERVICE:
-                continue  # a service is never done: it is up, or it is not
-            part = record.done_count() / max(1, record.tasks)
+                continue  # a service has no end, so no part of it can be done
+            done_share = record.done_count() / max(1, record.tasks)
             for tally in self._tallies(spec, classes, teams):
                 tally.jobs += 1
                 tally.cpu_s += _estimated_cpu_s(spec)
-                tally.served_cpu_s += part * _estimated_cpu_s(spec)
+                tally.served_cpu_s += done_share * _estimated_cpu_s(spec)
         return {
             "since_s": round(self.wall() - self.began_at, 1),
             "classes": {name: _row(tally) for name, tally in sorted(classes.items())},
@@ -109,16 +117,16 @@
         }
 
     def on_time_by_team(self) -> dict[Team, tuple[int, int]]:
-        """Of each team: jobs done within their aims, and those done that had one."""
+        """By team: jobs done within their completion target, and jobs done that had one."""
         return {Team(name): (row.in_time, row.timed) for name, row in self.teams.items()}
 
     def summary_line(self) -> str:
-        """For the log: each class's and team's share of the work asked for."""
-        found = self.summary()
+        """A line for the log: jobs and share of work done, for each class and team."""
+        totals = self.summary()
         parts = [
             f"{name} {row['done']}/{row['jobs']} jobs, {row['share']:.2f} of the work"
             for group in ("classes", "teams")
-            for name, row in found[group].items()
+            for name, row in totals[group].items()
         ]
         return "; ".join(parts)
 
--- a/dunehold/coordination/users/submissions.py
+++ b/dunehold/coordination/users/submissions.py
@@ -1,4 +1,7 @@
-"""Accepted jobs on their way to the state service: one write for many that wait together."""
+"""The queue of submissions on their way to the state service.
+
+One transaction writes many of the jobs that wait together.
+"""
 
 from __future__ import annotations
 
@@ -33,61 +36,71 @@
 
 log = logging.getLogger(__name__)
 
-MAX_PENDING = 2000
-RESERVE_SHARE = 1 / 3  # of the burst: packs begin while their first, dearer one can be paid
-MAX_TXN_ROWS = 512  # to a transaction, so that building it never keeps the loop for long
+MAX_PENDING = 2000  # submissions
+# Share of the write burst that must remain for jobs to get a key each. Batches begin before the
+# burst is used up, because the first one also writes the key that enables batching.
+RESERVE_SHARE = 1 / 3
+MAX_TXN_ROWS = 512  # in one transaction, so that building it does not block the event loop long
+KEY_OVERHEAD_BYTES = 300  # allowance for key, guard and other fields of a job's own record
+MIN_COMPRESSION_RATIO = 0.02  # lower bound for the estimate of what batching saves
 
 
 class SubmissionResult(NamedTuple):
-    """What became of a submission, by a question that was sent at ``asked_at``."""
+    """The outcome of a submission, as a request sent at ``asked_at`` showed it."""
 
-    created: bool | None  # accepted just now; known before; None: nobody can tell yet
-    asked_at: float
+    created: bool | None  # True: accepted now; False: known before; None: not known yet
+    asked_at: float  # event loop time, seconds
 
 
 @dataclass(slots=True)
 class _Submission:
+    """A submission that waits to be written."""
+
     spec: JobSpec
     accepted_at: WallTime
-    size_bytes: int
+    size_bytes: int  # in a batch of its own
     future: asyncio.Future[SubmissionResult]
-    isolated: bool = False  # a transaction with it was malformed: others must not share that
+    isolated: bool = False  # was in a rejected transaction or is too large: written on its own
 
 
 @dataclass(slots=True)
 class _SubmissionTxn:
+    """A transaction and the submissions that it writes."""
+
     txn: Txn
     entries: list[_Submission]
-    read_back: bool = False  # another record of the same job may have come first
-    batch_of: dict[JobId, str] = field(default_factory=dict)  # of those without an own key
+    read_back: bool = False  # another node may have recorded the same job first
+    batch_of: dict[JobId, str] = field(default_factory=dict)  # names of batches, by job
 
 
 @dataclass(slots=True)
 class SubmissionQueue:
-    """Writes what waits, as few keys as the state service's budget allows.
-
-    While the budget keeps up, each job gets its own key, guarded by its absence. As soon as
-    jobs wait for the budget they go into packs. Nothing can guard a pack against a pack of
-    another node with the same job, so while packs may be written (one key says so, and
-    guards every submission) each node reads back which of two records is the first, and
-    only then tells its users.
+    """Writes pending submissions within the write rate of the state service.
+
+    While the rate suffices, each job gets a key of its own, guarded by its absence. As soon as
+    jobs would wait for the rate limiter, several are written as a batch under one key. No guard
+    can detect that a batch of another node holds the same job. Therefore the key
+    ``BATCHING_ENABLED`` says whether batches may be written, and guards every submission. While
+    it is set, each node reads back which of two records of a job is the first before it answers
+    its users.
     """
 
     settings: Settings
     state: StateClient
     view: View
     sync: ViewSync
-    incarnation: str  # of this process: names of packs are never used again
+    incarnation: str  # unique to this process, so that names of batches are never reused
     _pending: dict[JobId, _Submission] = field(default_factory=dict)
-    _pending_bytes: int = 0  # of all that is pending, each by itself
-    _compression_ratio: float = 1.0  # what packing made of it lately
-    _packs: int = 0
-    _awaited_writes: int = 0  # changes that are waited for
-    _rate_limited: bool = False  # the budget does not hold a key for each, and a reserve
+    _pending_bytes: int = 0  # sum of ``size_bytes`` over all pending submissions
+    _compression_ratio: float = 1.0  # bytes of the last batches / their ``size_bytes``
+    _batches_named: int = 0
+    _awaited_writes: int = 0  # writes for which ``_flush`` waits at the rate limiter
+    _rate_limited: bool = False  # too few writes left for a key per job plus the reserve
     _task: asyncio.Task[None] | None = None
 
     @property
     def batching(self) -> bool:
+        """Whether the operators' settings allow batches."""
         return bool(self.settings.operator.pack_submissions)
 
     @property
@@ -95,24 +108,33 @@
         return records.usable_value_bytes(self.settings.value_bytes)
 
     def too_large(self, spec: JobSpec, at: WallTime) -> bool:
-        """No value of the state service could hold it."""
+        """Tells whether the job's record exceeds the size limit of a value."""
         value = records.encode_job_record(spec, JobPhase.ACTIVE, at)
         return len(codec.dump(value)) > self.settings.value_bytes
 
     def is_pending(self, job: JobId) -> bool:
+        """Tells whether the job waits here to be written."""
         return job in self._pending
 
     def full(self) -> bool:
+        """Tells whether ``MAX_PENDING`` submissions wait, so that more must be refused."""
         return len(self._pending) >= MAX_PENDING
 
     def wait_s(self) -> float:
-        """How long one more would wait for the write budget."""
-        changes = 1 + len(self._pending)
+        """Estimates how many seconds one more submission would wait for the rate limiter.
+
+        Writes that ``_flush`` already waits for are in the limiter's own queue.
+        """
+        writes = 1 + len(self._pending)
         if self.batching:
-            changes = min(changes, self._batched_write_count())
-        return self.state.write_limiter.wait_s(max(0.0, changes - self._awaited_writes))
+            writes = min(writes, self._batched_write_count())
+        return self.state.write_limiter.wait_s(max(0.0, writes - self._awaited_writes))
 
     async def submit(self, spec: JobSpec, at: WallTime) -> SubmissionResult:
+        """Queues a job accepted at ``at`` and waits for the outcome.
+
+        Repeated submissions of a pending job share its outcome.
+        """
         entry = self._pending.get(spec.id)
         if entry is None:
             future: asyncio.Future[SubmissionResult] = (
@@ -125,33 +147,45 @@
                 self._task = asyncio.create_task(self._flush())
         return await asyncio.shield(entry.future)
 
-    # -- transactions ------------------------------------------------------------------
+    # -- transactions ---
 
     async def _flush(self) -> None:
+        """Writes pending submissions until none is left."""
         while self._pending:
             batch: _SubmissionTxn | None = None
             try:
-                paid = self._awaited_writes = self._write_count()
-                # Who comes while this waits shares what is paid for.
-                await self.state.write_limiter.acquire(RequestPriority.USER, paid)
+                acquired = self._awaited_writes = self._write_count()
+                # Submissions that arrive during this wait share the acquired writes.
+                await self.state.write_limiter.acquire(RequestPriority.USER, acquired)
                 self._awaited_writes = 0
-                batch = self._build(paid)
-                self.state.write_limiter.refund(paid - batch.txn.size)
+                batch = self._build(acquired)
+                self.state.write_limiter.refund(acquired - batch.txn.size)
                 if batch.entries:
                     await self._commit(batch)
             except Malformed as error:
                 log.error(
-                    "%d submissions refused: %s", len(batch.entries) if batch else 0, error
+                    "transaction with %d submissions rejected as invalid: %s; "
+                    "several are retried one by one, a single one gets status 503",
+                    len(batch.entries) if batch else 0,
+                    error,
                 )
                 self._isolate_all(batch)
             except STATE_SERVICE_ERRORS as error:
-                log.info("submissions not written, to be retried by their users: %s", error)
+                log.info(
+                    "submissions not written: %s; users get status 503 and may retry", error
+                )
                 self._resolve_all(batch, None)
             except Exception:
-                log.exception("submissions not written")
+                log.exception(
+                    "submissions not written because of an unexpected error; users get 503"
+                )
                 self._resolve_all(batch, None)
 
     async def _commit(self, batch: _SubmissionTxn) -> None:
+        """Sends a transaction and resolves its submissions.
+
+        If it failed, those whose job is still unknown stay pending for the next transaction.
+        """
         asked = asyncio.get_running_loop().time()
         result = await self.state.txn(batch.txn, RequestPriority.USER, pre_acquired=True)
         if not result.ok or batch.read_back:
@@ -169,21 +203,22 @@
             return True
         record = self.view.jobs.get(job)
         if record is None or record.phase.final:
-            # Its end says nothing of who wrote it: known, and its state is what it is.
+            # The record of an ended job does not tell which node accepted it, so the job
+            # counts as known and its user gets its state.
             return False
         return record.batch_key == batch.batch_of.get(job)
 
     def _batched_write_count(self) -> int:
-        """The pending ones and one more like them."""
-        rows = (
+        """Number of writes for all pending submissions and one more of average size."""
+        batch_bytes = (
             self._pending_bytes * self._compression_ratio * (1 + 1 / max(1, len(self._pending)))
         )
-        return max(1, math.ceil(rows / self._value_room_bytes)) + (
+        return max(1, math.ceil(batch_bytes / self._value_room_bytes)) + (
             not self.view.batching_enabled
         )
 
     def _write_count(self) -> int:
-        """How many changes to pay for: no more than the transaction will make, mostly."""
+        """Number of writes to acquire: usually no more than the transaction will make."""
         count = len(self._pending)
         writes = self.state.write_limiter
         least = count + writes.burst * RESERVE_SHARE
@@ -196,28 +231,33 @@
         return max(1, min(count, self.settings.txn_ops))
 
     def _uses_batches(self) -> bool:
-        """While packs may be written even a lone job goes into one: it costs no more, and
-        its end can share a key."""
+        """Tells whether pending jobs go into batches.
+
+        Once batching is enabled, a single job goes into a batch, too: it costs no more, and the
+        job's completion can share a key with others.
+        """
         return self.batching and (self.view.batching_enabled or self._rate_limited)
 
-    def _build(self, paid: int) -> _SubmissionTxn:
+    def _build(self, acquired: int) -> _SubmissionTxn:
+        """Builds the next transaction, which makes at most ``acquired`` writes."""
         for entry in list(self._pending.values()):
-            if entry.spec.id in self.view.jobs:  # through another node, in the meantime
+            if entry.spec.id in self.view.jobs:  # another node recorded it meanwhile
                 self._resolve(entry, False)
         waiting = list(islice(self._pending.values(), MAX_TXN_ROWS))
-        apart = next((entry for entry in waiting if entry.isolated), None)
-        if apart is not None:
-            return self._build_singles([apart], 1)
-        packs = paid - (not self.view.batching_enabled)
-        if packs > 0 and self._uses_batches():
-            return self._build_batches(waiting, packs)
-        return self._build_singles(waiting, paid)
+        single = next((entry for entry in waiting if entry.isolated), None)
+        if single is not None:
+            return self._build_singles([single], 1)
+        max_batches = acquired - (not self.view.batching_enabled)
+        if max_batches > 0 and self._uses_batches():
+            return self._build_batches(waiting, max_batches)
+        return self._build_singles(waiting, acquired)
 
     def _build_singles(self, waiting: Iterable[_Submission], most: int) -> _SubmissionTxn:
+        """Builds a transaction that gives each of at most ``most`` jobs a key of its own."""
         batch = _SubmissionTxn(Txn(), [], read_back=self.view.batching_enabled)
         size = 0
         for entry in waiting:
-            size += entry.size_bytes + 300
+            size += entry.size_bytes + KEY_OVERHEAD_BYTES
             if batch.entries and (len(batch.entries) >= most or size > MAX_TXN_BYTES):
                 break
             key = records.job_key(entry.spec.id)
@@ -227,61 +267,75 @@
             )
             batch.entries.append(entry)
         if batch.entries:
-            # If packs may be written, though this node does not know, one may hold these jobs.
+            # Batching may be enabled without this node knowing it yet, and a batch of another
+            # node may hold these jobs. Then the guard fails.
             self._guard_mode(batch.txn)
         return batch
 
     def _guard_mode(self, txn: Txn) -> None:
+        """Makes the transaction fail if the batching mode is not the one in the view."""
         txn.guards[records.BATCHING_ENABLED] = self.view.versions.get(
             records.BATCHING_ENABLED, ABSENT
         )
 
     def _build_batches(self, waiting: list[_Submission], most: int) -> _SubmissionTxn:
-        """Alike jobs side by side, so that rows are short; the oldest are among them."""
+        """Builds a transaction of at most ``most`` batches.
+
+        Similar jobs stand next to each other, because a row holds only the fields that differ
+        from the row before. ``waiting`` holds the oldest submissions.
+        """
         batch = _SubmissionTxn(Txn(), [], read_back=True)
         waiting = sorted(waiting, key=lambda e: (e.spec.team, e.spec.job_class, e.accepted_at))
-        packer, name = JobBatchBuilder(self._value_room_bytes), self._next_name()
-        filled = before = 0
+        builder, name = JobBatchBuilder(self._value_room_bytes), self._next_name()
+        batch_bytes = separate_bytes = 0
         for entry in waiting:
             row = AcceptedJob(entry.spec, entry.accepted_at)
-            if not packer.add(row):
-                if not packer.rows:
+            if not builder.add(row):
+                if not builder.rows:
                     entry.isolated = True  # too large to share a value
                     continue
-                filled += self._close(batch.txn, name, packer)
+                batch_bytes += self._close(batch.txn, name, builder)
                 if len(batch.txn.puts) >= most:
-                    break  # the rest waits for the next
-                packer, name = JobBatchBuilder(self._value_room_bytes), self._next_name()
-                if not packer.add(row):
+                    break  # the rest waits for the next transaction
+                builder, name = JobBatchBuilder(self._value_room_bytes), self._next_name()
+                if not builder.add(row):
                     entry.isolated = True
                     continue
-            before += entry.size_bytes
+            separate_bytes += entry.size_bytes
             batch.entries.append(entry)
             batch.batch_of[entry.spec.id] = name
         else:
-            if packer.rows:
-                filled += self._close(batch.txn, name, packer)
+            if builder.rows:
+                batch_bytes += self._close(batch.txn, name, builder)
         if batch.entries:
-            self._guard_mode(batch.txn)  # a pack that comes late may not be read back any more
+            # A transaction that is applied after batching was disabled must fail, because other
+            # nodes then give jobs keys of their own without reading them back.
+            self._guard_mode(batch.txn)
             if not self.view.batching_enabled:
                 batch.txn.puts[records.BATCHING_ENABLED] = True
-            self._compression_ratio = min(1.0, max(0.02, filled / before))
+            self._compression_ratio = min(
+                1.0, max(MIN_COMPRESSION_RATIO, batch_bytes / separate_bytes)
+            )
         return batch
 
-    def _close(self, txn: Txn, name: str, packer: JobBatchBuilder) -> int:
+    def _close(self, txn: Txn, name: str, builder: JobBatchBuilder) -> int:
+        """Adds a finished batch to the transaction and returns its size in bytes."""
         key = records.JOB_BATCHES + name
         txn.guards[key] = ABSENT
-        txn.puts[key] = packer.value()
-        return packer.size_bytes
+        txn.puts[key] = builder.value()
+        return builder.size_bytes
 
     def _next_name(self) -> str:
-        self._packs += 1
-        return f"{self.incarnation}.{self._packs}"
+        self._batches_named += 1
+        return f"{self.incarnation}.{self._batches_named}"
 
-    # -- what becomes of them ------------------------------------------------------------
+    # -- outcomes ---
 
     def _isolate_all(self, batch: _SubmissionTxn | None) -> None:
-        """One of them is at fault: each is tried by itself, and only that one fails."""
+        """Makes each submission of a rejected transaction be written on its own.
+
+        The state service does not say which of them is invalid; this way only that one fails.
+        """
         if batch is None or len(batch.entries) <= 1:
             self._resolve_all(batch, None)
             return
--- a/dunehold/protocol/operators.py
+++ b/dunehold/protocol/operators.py
@@ -1,8 +1,13 @@
-"""What operators ask for: orders to take machines out of service or to replace them.
+"""Messages to and from operators: orders to take machines out of service or to replace them.
 
-Spoken on a port of its own, which is off unless the operators' settings name one. ``seen`` is
-the serial that the operator saw with the list: an order is refused if any has changed since.
-Times of day are seconds since the epoch, so that a repeated request is the same request.
+They are exchanged on a separate port, which is off unless the operators' settings name one.
+``seen`` is the serial number that the operator saw with the list of orders: a request is
+refused if any order has changed since. Times of day are seconds since the epoch instead of
+relative ones, so that a repeated request is the same request.
+
+Outer names of an order: ``from`` and ``by`` are the times of day when it begins and ends,
+``within_s`` the drain timeout, ``to`` the replacement type, ``keep`` whether drained machines
+stay rented, ``made`` the time of creation, ``wish`` the desired state.
 """
 
 from __future__ import annotations
@@ -18,17 +23,20 @@
 from dunehold.types import Duration, HostId, OrderId, Revision, TypeName, WallTime, Zone
 
 ORDERS_PATH = "/operators/orders"
-MAX_HOSTS = 100  # of machines in one order: it must fit a value
-MAX_ORDER_ID_CHARS = 60  # characters of an order's id
+MAX_HOSTS = 100  # in one order, since its record must fit a value of the state service
+MAX_ORDER_ID_CHARS = 60
+MAX_REASON_CHARS = 200
 
 
 class OrderKind(StrEnum):
-    DRAIN = "drain"  # take the machines out of service
-    REPLACE = "replace"  # each by a fresh one, in steps
+    """What an order does with its machines."""
+
+    DRAIN = "drain"  # takes them out of service
+    REPLACE = "replace"  # replaces each by a new one, in steps
 
 
 class DesiredState(StrEnum):
-    """What the operators last wanted of an order."""
+    """The state that the operators last requested for an order."""
 
     PROCEED = "go"
     PAUSE = "pause"
@@ -44,17 +52,20 @@
 
 @dataclass(frozen=True, slots=True)
 class Selection:
-    """Which machines are meant: all conditions that are set must hold."""
+    """Selects machines: all conditions that are set must hold."""
 
     hosts: tuple[HostId, ...] = ()
     types: tuple[TypeName, ...] = ()
     zones: tuple[Zone, ...] = ()
     spot: bool | None = None
-    older_s: float | None = None  # than this when the order was taken up
-    share: float | None = None  # of them, drawn by their names
+    older_s: float | None = None  # rented for longer than this when the leader began the order
+    share: float | None = None  # part of the machines, chosen by a hash of their names
 
     def matches(self, host: HostId, type_name: TypeName, zone: Zone, spot: bool) -> bool:
-        """Age aside, which is a name that the leader found when it took the order up."""
+        """Tells whether the machine meets all conditions except the one on its age.
+
+        The leader resolves the age to names of machines when it begins the order.
+        """
         if self.hosts and host not in self.hosts:
             return False
         if self.types and type_name not in self.types:
@@ -66,57 +77,59 @@
         return self.share is None or sampling_fraction(host) < self.share
 
     def matches_every_machine(self, type_name: TypeName, zone: Zone, spot: bool) -> bool:
-        """Is every machine of that kind meant, those of the future included?"""
+        """Tells whether every machine of that type, zone and kind matches, also future ones."""
         if self.hosts or self.share is not None or self.older_s is not None:
             return False
         return self.matches(HostId(""), type_name, zone, spot)
 
 
 def sampling_fraction(host: HostId) -> float:
-    """A number in [0, 1) that only the name decides, so that every leader finds the same."""
+    """A number in [0, 1) that depends on the name only, so that every leader gets the same."""
     return zlib.crc32(host.encode()) / 2**32
 
 
 @dataclass(frozen=True, slots=True)
 class Order:
-    """``begins_at``, ``ends_at`` and ``made_at`` are times of day.
-
-    ``within_s``: how long a machine that is taken in a step may take to run empty.
-    """
+    """A maintenance order as its operator requested it."""
 
     id: OrderId
     kind: OrderKind
     selection: Selection
     created_at: WallTime
     reason: str = ""
-    begins_at: WallTime | None = None
-    ends_at: WallTime | None = None
-    drain_timeout_s: Duration | None = None
-    replacement_type: TypeName | None = None  # the type that replaces, where it is another
-    keep_rented: bool = False  # stay rented once they are empty
+    begins_at: WallTime | None = None  # None: at once
+    ends_at: WallTime | None = None  # None: no time limit
+    drain_timeout_s: Duration | None = None  # for the tasks of a machine to end or move
+    replacement_type: TypeName | None = None  # None: the same type
+    keep_rented: bool = False  # drained machines stay rented
     desired_state: DesiredState = DesiredState.PROCEED
-    version: Revision = Revision(0)  # of its key
+    version: Revision = Revision(0)  # of the order's key
 
     def is_same_request(self, other: Order) -> bool:
-        """Asked for alike: a repeated request, whatever has become of it since."""
+        """Tells whether both orders were requested alike, regardless of their progress."""
         return encode_order_fields(self) == encode_order_fields(other)
 
 
 def valid_order_id(name: str) -> bool:
+    """Tells whether the id has 1 to 60 ASCII letters, digits, ``-`` and ``_``.
+
+    At least one of them must be a letter or a digit.
+    """
     plain = name.replace("-", "").replace("_", "")
     return 0 < len(name) <= MAX_ORDER_ID_CHARS and plain.isascii() and plain.isalnum()
 
 
 def encode_order_fields(order: Order) -> dict[str, Any]:
-    chosen = order.selection
+    """Encodes what was requested, without empty fields; its progress is not included."""
+    selected = order.selection
     row: dict[str, Any] = {
         "kind": order.kind.value,
-        "hosts": list(chosen.hosts),
-        "types": list(chosen.types),
-        "zones": list(chosen.zones),
-        "spot": chosen.spot,
-        "older_s": chosen.older_s,
-        "share": chosen.share,
+        "hosts": list(selected.hosts),
+        "types": list(selected.types),
+        "zones": list(selected.zones),
+        "spot": selected.spot,
+        "older_s": selected.older_s,
+        "share": selected.share,
         "reason": order.reason,
         "from": order.begins_at,
         "by": order.ends_at,
@@ -128,14 +141,14 @@
 
 
 def decode_order_fields(order: OrderId, row: Mapping[str, Any]) -> Order:
-    """From the fields of an operator's request or of a record; BadMessage names the field."""
+    """Decodes an operator's request or a record; raises BadMessage with the field."""
     given = dict(row)
     try:
         kind = OrderKind(codec.text(given, "kind"))
-        wish = DesiredState(given.get("wish", "go"))
+        desired_state = DesiredState(given.get("wish", "go"))
     except ValueError:
         raise BadMessage("kind must be drain or replace") from None
-    chosen = Selection(
+    selection = Selection(
         tuple(HostId(name) for name in decode_texts(given, "hosts")),
         tuple(TypeName(name) for name in decode_texts(given, "types")),
         tuple(Zone(name) for name in decode_texts(given, "zones")),
@@ -143,25 +156,29 @@
         codec.opt_amount(given, "older_s"),
         codec.opt_amount(given, "share"),
     )
-    if chosen == Selection():
-        raise BadMessage("no machines: name hosts, types, zones, spot, older_s or share")
-    if len(chosen.hosts) > MAX_HOSTS:
-        raise BadMessage(f"hosts: at most {MAX_HOSTS}; use types, zones, age or share")
-    if chosen.share is not None and not 0 < chosen.share <= 1:
+    if selection == Selection():
+        raise BadMessage(
+            "no machines selected: give hosts, types, zones, spot, older_s or share"
+        )
+    if len(selection.hosts) > MAX_HOSTS:
+        raise BadMessage(
+            f"hosts: at most {MAX_HOSTS} names; use types, zones, older_s or share instead"
+        )
+    if selection.share is not None and not 0 < selection.share <= 1:
         raise BadMessage("share must be above 0 and at most 1")
     begins, ends = codec.opt_amount(given, "from"), codec.opt_amount(given, "by")
     within, to = codec.opt_amount(given, "within_s"), codec.opt_text(given, "to")
     if begins is not None and ends is not None and ends <= begins:
         raise BadMessage("by must be after from")
     if kind is OrderKind.DRAIN and to is not None:
-        raise BadMessage("to is for replacements")
+        raise BadMessage("to is allowed in orders of kind replace only")
     keep = codec.flag(given, "keep", False)
     if kind is OrderKind.REPLACE and keep:
-        raise BadMessage("keep is for drains")
+        raise BadMessage("keep is allowed in orders of kind drain only")
     return Order(
         order,
         kind,
-        chosen,
+        selection,
         WallTime(codec.opt_amount(given, "made") or 0.0),
         codec.text(given, "reason") if given.get("reason") else "",
         None if begins is None else WallTime(begins),
@@ -169,51 +186,60 @@
         None if within is None else Duration(within),
         None if to is None else TypeName(to),
         keep,
-        wish,
+        desired_state,
     )
 
 
 def decode_texts(row: dict[str, Any], key: str) -> list[str]:
+    """Reads a list of non-empty strings, sorted and without duplicates."""
     value = row.get(key) or []
     if not isinstance(value, list) or not all(isinstance(v, str) and v for v in value):
-        raise BadMessage(f"{key} must be a list of texts")
+        raise BadMessage(f"{key} must be a list of non-empty strings")
     return sorted(set(value))
 
 
 def decode_request(body: bytes) -> tuple[Order, int | None]:
-    """A new order and the serial that its operator saw, if it says so."""
+    """Decodes a new order and the serial number that its operator saw, if given."""
     row = codec.load_object(body)
     name = codec.text(row, "id")
     if not valid_order_id(name):
         raise BadMessage(f"id must be letters, digits, - and _, {MAX_ORDER_ID_CHARS} at most")
-    if len(codec.opt_text(row, "reason") or "") > 200:
+    if len(codec.opt_text(row, "reason") or "") > MAX_REASON_CHARS:
         raise BadMessage("reason must be 200 characters at most")
     return decode_order_fields(OrderId(name), row), decode_seen_serial(row)
 
 
 def decode_seen_serial(row: dict[str, Any]) -> int | None:
+    """Reads the serial number that the operator saw, if given."""
     return None if row.get("seen") is None else codec.count(row, "seen")
 
 
 def encode_request(order: Order, seen: int | None) -> bytes:
+    """Encodes a new order and, if given, the serial number that the operator saw."""
     row = encode_order_fields(order) | {"id": order.id}
     return codec.dump(row if seen is None else row | {"seen": seen})
 
 
 def encode_list(serial: int, leader: str | None, rows: list[dict[str, Any]]) -> bytes:
+    """Encodes the list of orders; ``serial`` changes with every change of an order."""
     return codec.dump({"serial": serial, "leader": leader, "orders": rows})
 
 
 def encode_accepted(row: dict[str, Any], serial: int, in_force: bool) -> bytes:
-    """``in_force``: the leader has it, so that nothing more is begun on those machines."""
+    """Encodes an accepted order.
+
+    ``in_force`` means that the leader knows it and starts nothing more on its machines.
+    """
     return codec.dump(row | {"serial": serial, "in_force": in_force})
 
 
 def encode_conflict(reason: str, serial: int) -> bytes:
+    """Encodes a refusal because orders have changed, with the present serial number."""
     return codec.dump({"error": reason, "serial": serial})
 
 
 def encode_order_row(order: Order) -> dict[str, Any]:
+    """Encodes an order for answers to operators."""
     asked = encode_order_fields(order)
     return {
         "id": order.id,
--- a/dunehold/protocol/peers.py
+++ b/dunehold/protocol/peers.py
@@ -1,6 +1,7 @@
-"""What controllers ask one another: hints on who should lead or serve, and counts to show.
+"""Messages between controllers: hints on who should lead or serve, and counts for display.
 
-No rule depends on an answer: who may lead and what may start is decided by the state service.
+Correctness does not depend on these answers: the state service decides who may lead and what
+may start.
 """
 
 from __future__ import annotations
@@ -15,62 +16,72 @@
 
 RUNNING_PATH = "/peer/running"
 PEER_STATUS_PATH = "/peer/proof"
-SERVED_PATH = "/peer/served"  # operators ask for it
-DEPENDENCIES_PATH = "/peer/waits/"  # and a job's id: what it waits for; users' commands ask
-MAINTENANCE_PATH = "/peer/upkeep"  # of the leader: how far it is with each order
+SERVED_PATH = "/peer/served"  # service statistics, for operators
+# Followed by a job's id: the dependencies that it waits for. Used by the command line.
+DEPENDENCIES_PATH = "/peer/waits/"
+MAINTENANCE_PATH = "/peer/upkeep"  # the leader's progress with each order
+MAX_AGE_S = 1e9  # upper bound, since JSON can't hold an infinite age
 
 
 def encode_running(running: dict[JobId, int]) -> bytes:
+    """Encodes how many tasks of each job are on a machine."""
     return codec.dump({"running": running})
 
 
 def encode_unmet_dependencies(job: JobId, waits: Iterable[JobId]) -> bytes:
+    """Encodes the jobs that a job waits for."""
     return codec.dump({"uid": job, "waits": sorted(waits)})
 
 
 async def get_unmet_dependencies(
     client: Client, job: JobId, timeout_s: float
 ) -> list[JobId] | None:
-    """What the job waits for; None where that controller does not know the job."""
+    """The dependencies that a job waits for, or None if that controller does not know the job.
+
+    Like the other ``get`` functions, it raises NoResponse or BadMessage.
+    """
     status, data = await client.request("GET", DEPENDENCIES_PATH + job, None, timeout_s)
     if status != 200:
         return None
     waits = codec.load_object(data).get("waits")
     if not isinstance(waits, list):
-        raise BadMessage("waits must be a list")
+        raise BadMessage("waits must be a list of job ids")
     return [JobId(str(name)) for name in waits]
 
 
 class PeerStatus(NamedTuple):
-    """What a node has seen lately, in seconds ago: a proof of a current view, any worker."""
+    """How long ago a node last had a proof that its view is current, and heard a worker."""
 
     proof_age_s: float
     worker_age_s: float
 
 
 def encode_peer_status(status: PeerStatus) -> bytes:
-    proof, worker = (max(0.0, min(age, 1e9)) for age in status)
+    """Encodes a node's status; ``age_s`` is the age of its proof."""
+    proof, worker = (max(0.0, min(age, MAX_AGE_S)) for age in status)
     return codec.dump({"age_s": proof, "worker_age_s": worker})
 
 
 async def get_peer_status(client: Client, timeout_s: float) -> PeerStatus:
+    """Asks a node for its status."""
     status, data = await client.request("GET", PEER_STATUS_PATH, None, timeout_s)
     if status != 200:
-        raise BadMessage(f"status {status}")
+        raise BadMessage(f"peer answered with status {status}, expected 200")
     row = codec.load_object(data)
-    # A node that does not say when it heard a worker may hear them now.
+    # Without ``worker_age_s``, assume that the node hears workers now.
     return PeerStatus(codec.amount(row, "age_s"), codec.opt_amount(row, "worker_age_s") or 0.0)
 
 
 def encode_maintenance(applied: Revision, status: dict[str, Any]) -> bytes:
+    """Encodes the revision of the leader's view and the progress of each order."""
     return codec.dump({"applied": applied, "orders": status})
 
 
 async def get_maintenance(client: Client, timeout_s: float) -> tuple[Revision, dict[str, Any]]:
-    """The revision that the leader's view has, and what it knows of each order."""
+    """Asks the leader for the revision of its view and the progress of each order."""
     status, data = await client.request("GET", MAINTENANCE_PATH, None, timeout_s)
     if status != 200:
-        raise BadMessage(f"status {status}")
+        raise BadMessage(f"peer answered with status {status}, expected 200")
     row = codec.load_object(data)
     orders = row.get("orders")
     if not isinstance(orders, dict):
@@ -79,10 +90,10 @@
 
 
 async def get_running(client: Client, timeout_s: float) -> dict[JobId, int]:
-    """How many tasks of each job the leader takes to be on machines."""
+    """Asks the leader how many tasks of each job it counts as being on a machine."""
     status, data = await client.request("GET", RUNNING_PATH, None, timeout_s)
     if status != 200:
-        raise BadMessage(f"status {status}")
+        raise BadMessage(f"peer answered with status {status}, expected 200")
     row = codec.load_object(data).get("running")
     if not isinstance(row, dict):
         raise BadMessage("running must be an object")
--- a/dunehold/protocol/responses.py
+++ b/dunehold/protocol/responses.py
@@ -1,4 +1,4 @@
-"""Answers that users and operators get alike."""
+"""Responses that are the same for users and operators."""
 
 from __future__ import annotations
 
--- a/dunehold/protocol/users.py
+++ b/dunehold/protocol/users.py
@@ -1,4 +1,13 @@
-"""What users say and hear."""
+"""Messages to and from users: submitted jobs, and answers about the state of jobs.
+
+Outer names of a job: ``uid`` is the job's id, ``jobclass`` its class, ``owner`` the team,
+``shape`` the kind (``batch`` for an array, ``gang``, or ``standing`` for a service), ``rank``
+the priority, ``units`` the number of tasks, ``bundle`` the image and ``size_gb`` its size,
+``flavours`` the allowed machine types, ``hall`` the required zone, ``together`` whether all
+tasks must be in one zone, ``loaner`` whether spot machines are allowed, ``expect_s`` the
+estimated run time, ``snapshot_s`` the checkpoint interval, ``flush_s`` the time that saving
+takes, ``due_s`` the deadline, ``awaits`` the dependencies.
+"""
 
 from __future__ import annotations
 
@@ -23,7 +32,7 @@
 JOBS_PATH = "/v1/jobs"
 HEALTH_PATH = "/up"
 CANCEL_SUFFIX = "cancel"
-MAX_TASKS = 100_000
+MAX_TASKS = 100_000  # of one job
 
 _JOB_ID = re.compile(r"job-[0-9]{1,18}\Z")
 _KINDS = {"batch": JobKind.ARRAY, "gang": JobKind.GANG, "standing": JobKind.SERVICE}
@@ -39,34 +48,35 @@
 
 @dataclass(frozen=True, slots=True)
 class JobSpec:
-    """A job as its user described it."""
+    """A job as its user described it. Resources and times are per task."""
 
     id: JobId
     job_class: str
     team: Team
     kind: JobKind
     rank: Rank
-    tasks: int
+    tasks: int  # number of tasks
     need: Resources
     image: Image
     image_gb: float
-    types: tuple[TypeName, ...] | None
-    zone: Zone | None
-    one_zone: bool
-    spread: bool
-    spot: bool
-    estimate_s: Duration
-    checkpoint_s: Duration
-    save_s: Duration
-    deadline_s: Duration | None
-    dependencies: tuple[JobId, ...] = ()  # jobs that must be done before any task of it starts
+    types: tuple[TypeName, ...] | None  # allowed machine types; None: any
+    zone: Zone | None  # required zone; None: any
+    one_zone: bool  # all tasks must be in the same zone
+    spread: bool  # at most half of the tasks, rounded up, may be in one zone
+    spot: bool  # may run on spot machines
+    estimate_s: Duration  # run time of a task as its owner estimates it
+    checkpoint_s: Duration  # interval between checkpoints; 0: the job writes none
+    save_s: Duration  # time that a stopped task needs to save its state
+    deadline_s: Duration | None  # counted from the acceptance
+    dependencies: tuple[JobId, ...] = ()  # jobs that must be done before any task starts
 
 
 def valid_job_id(value: str) -> bool:
+    """Tells whether ``value`` has the form of a job id, such as ``job-000412``."""
     return _JOB_ID.match(value) is not None
 
 
-# What a submission must not lack; a field that may be null may also be omitted.
+# Fields that a submission must contain. A field that may be null may also be omitted.
 REQUIRED_FIELDS = (
     "uid", "jobclass", "owner", "shape", "rank", "units", "vcpus", "gpus", "memory_gb",
     "bundle", "size_gb", "together", "spread", "loaner", "expect_s", "snapshot_s", "flush_s",
@@ -74,7 +84,7 @@
 
 
 def decode_job(body: bytes) -> JobSpec:
-    """The submitted job; BadMessage when anything in it is malformed or missing."""
+    """Decodes a submission; raises BadMessage if a field is malformed or missing."""
     row = codec.load_object(body)
     for name in REQUIRED_FIELDS:
         if row.get(name) is None:
@@ -83,7 +93,7 @@
 
 
 def decode_job_id(body: bytes) -> JobId | None:
-    """The job that a submission names, however malformed the rest of it is."""
+    """Returns the job id in a submission whose other fields may be malformed, or None."""
     try:
         uid = codec.load_object(body).get("uid")
     except BadMessage:
@@ -92,7 +102,10 @@
 
 
 def decode_job_object(row: dict[str, Any]) -> JobSpec:
-    """A job as it is sent, or as it was kept: records of earlier versions may lack a field."""
+    """Decodes a job from a submission or from a stored record.
+
+    Fields that records of earlier versions may lack have defaults. Raises BadMessage.
+    """
     uid = codec.text(row, "uid")
     if not valid_job_id(uid):
         raise BadMessage("uid must look like job-000412")
@@ -133,7 +146,7 @@
 
 
 def _decode_dependencies(uid: str, value: Any) -> tuple[JobId, ...]:
-    """A name given twice counts once; null, omitted and empty are the same."""
+    """Removes duplicates; null, an omitted field and an empty list all mean no dependencies."""
     if value is None:
         return ()
     if not isinstance(value, list) or not all(
@@ -151,14 +164,15 @@
     if not isinstance(value, list) or not value or len(value) > 100:
         raise BadMessage("flavours must be null or a list of 1 to 100 names")
     if not all(isinstance(name, str) and 0 < len(name) <= 200 for name in value):
-        raise BadMessage("flavours must hold names")
+        raise BadMessage("flavours must hold names of 1 to 200 characters")
     return tuple(TypeName(name) for name in value)
 
 
 def encode_job(spec: JobSpec) -> dict[str, Any]:
-    """The same form that users send; also what the state service keeps.
+    """Encodes a job in the form that users send, which the state service also stores.
 
-    ``awaits`` only where there are any: earlier versions read the same records.
+    ``awaits`` is written only if there are dependencies, because earlier versions read the
+    same records.
     """
     row = {
         "uid": spec.id,
@@ -188,6 +202,7 @@
 def encode_state(
     job: JobId, phase: str, done: int | None = None, running: int | None = None
 ) -> bytes:
+    """Encodes the state of a job; ``done`` and ``running`` are numbers of tasks."""
     row: dict[str, Any] = {"uid": job, "phase": phase}
     if done is not None:
         row["done"] = done
--- a/dunehold/report.py
+++ b/dunehold/report.py
@@ -1,4 +1,4 @@
-"""What the command line prints of a controller's answers, for people to read."""
+"""Formats a controller's answers as text for the command line."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 def format_served(row: dict[str, Any]) -> str:
-    """The answer to ``dunehold served`` as tables: classes, teams, zones that are not well."""
+    """Formats the answer to ``dunehold served``: classes, teams and unhealthy zones."""
     lines = [f"counted for {row['since_s']:.0f} s by this controller"]
     for group in ("classes", "teams"):
         rows = [SERVED_COLUMNS, *(_cells(name, cells) for name, cells in row[group].items())]
@@ -31,9 +31,9 @@
 
 
 def format_orders(row: dict[str, Any]) -> str:
-    """The answer to ``dunehold orders``, the oldest order first."""
+    """Formats the answer to ``dunehold orders``, which holds the oldest order first."""
     lines = [f"serial {row['serial']}, leader {row['leader'] or 'none'}"]
-    rows = [ORDER_COLUMNS, *(_order_cells(one) for one in row["orders"])]
+    rows = [ORDER_COLUMNS, *(_order_cells(order) for order in row["orders"])]
     return (
         "\n".join([*lines, "", *_align_columns(rows)])
         if row["orders"]
@@ -55,8 +55,11 @@
 
 
 def format_order(row: dict[str, Any], now: float) -> str:
-    """One order: what it asks for, how far it is, what holds it up."""
-    asked = {
+    """Formats one order: what it requests, its progress and what holds it up.
+
+    ``now`` is the time of day in seconds.
+    """
+    requested = {
         "machines": row.get("hosts"),
         "types": row.get("types"),
         "zones": row.get("zones"),
@@ -70,7 +73,7 @@
         "reason": row.get("reason"),
     }
     lines = [f"{row['id']}: {row['kind']}, {row['stage']}, wish {row['wish']}"]
-    for name, value in asked.items():
+    for name, value in requested.items():
         if value is not None:
             lines.append(f"  {name}: {', '.join(value) if isinstance(value, list) else value}")
     if row.get("live"):
@@ -112,6 +115,7 @@
 
 
 def _align_columns(rows: list[tuple[str, ...]]) -> list[str]:
+    """Joins cells to lines: the first column aligned to the left, the others to the right."""
     widths = [max(map(len, column)) for column in zip(*rows, strict=True)]
     return [
         "  ".join(
--- a/dunehold/settings.py
+++ b/dunehold/settings.py
@@ -1,4 +1,4 @@
-"""Settings: the platform's TOML file and the operators' S-expressions, checked at start."""
+"""Reads and checks the settings: the platform's TOML file, the operators' S-expressions."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 
 from dunehold import budgets
 from dunehold.budgets import DisruptionBudgets
-from dunehold.types import Duration, NodeId, Resources, Team, Zone
+from dunehold.types import EPSILON, Duration, NodeId, Resources, Team, Zone
 
 
 class SettingsError(Exception):
-    """One line that names the field and the reason."""
+    """The settings are invalid; the text is one line with the field and the reason."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -25,6 +25,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Peer:
+    """Another controller. ``address`` is the one at which it answers its peers."""
+
     name: NodeId
     zone: Zone
     address: Address
@@ -32,96 +34,103 @@
 
 @dataclass(frozen=True, slots=True)
 class TeamSettings:
-    """What a team is promised and the most it may use; an amount of 0 means none."""
+    """The resources guaranteed to a team, and the most that it may use."""
 
     name: Team
     guarantee: Resources
-    limit_cpus: float | None
-    limit_gpus: float | None
+    limit_cpus: float | None  # None: no limit
+    limit_gpus: float | None  # None: no limit
 
     def allows(self, use: Resources) -> bool:
-        return (self.limit_cpus is None or use.cpus <= self.limit_cpus + 1e-6) and (
-            self.limit_gpus is None or use.gpus <= self.limit_gpus + 1e-6
+        """Tells whether the team may use ``use`` in total."""
+        return (self.limit_cpus is None or use.cpus <= self.limit_cpus + EPSILON) and (
+            self.limit_gpus is None or use.gpus <= self.limit_gpus + EPSILON
         )
 
 
 @dataclass(frozen=True, slots=True)
 class Objective:
-    """An aim at starting or finishing, as the settings state it."""
+    """An objective for the start or the completion of jobs, as the settings state it."""
 
-    kind: str
-    job_class: str
-    share: float
+    kind: str  # wait, guarantee, finished or deadline
+    job_class: str  # * if the objective names no class
+    share: float  # part of the jobs or tasks that should meet it
     within_s: Duration
-    times: float
+    times: float  # of the deadline
 
 
 @dataclass(frozen=True, slots=True)
 class OperatorSettings:
-    """The operators' own settings; the values here are the defaults."""
-
-    leader_lease_s: float = 3.0
-    leader_renew_s: float = 0.8
-    schedule_interval_s: float = 0.1
-    headroom_share: float = 0.1
-    idle_reserve_share: float = 0.06
-    demand_memory_s: float = 40.0
-    idle_return_s: float = 20.0
-    silent_return_s: float = 45.0
-    boot_patience: float = 4.0
-    capacity_retry_s: float = 20.0
-    sick_after_errors: int = 2
-    move_budget: int = 4
-    spot_allowed: int = 1
-    reservation: int = 1
+    """The operators' own settings; the values here are the defaults.
+
+    Fields of type int that are not counts or ports are switches: 0 is off, 1 is on.
+    """
+
+    leader_lease_s: float = 3.0  # lifetime of the leader lease
+    leader_renew_s: float = 0.8  # interval between its renewals
+    schedule_interval_s: float = 0.1  # least time between two plans
+    headroom_share: float = 0.1  # kept in the fleet beyond the recent peak of wanted CPUs
+    idle_reserve_share: float = 0.06  # of all CPUs, left free by jobs of the lowest priority
+    demand_memory_s: float = 40.0  # how far back the recent peak of wanted CPUs reaches
+    idle_return_s: float = 20.0  # a machine idle for this long may be returned
+    silent_return_s: float = 45.0  # a machine not heard from for this long may be returned
+    boot_patience: float = 4.0  # boot times of its type until a machine has failed to come up
+    capacity_retry_s: float = 20.0  # after a refusal, before the same offer is tried again
+    sick_after_errors: int = 2  # errors in a row that quarantine a machine
+    move_budget: int = 4  # moves from checkpoints in one plan
+    spot_allowed: int = 1  # rent spot machines
+    reservation: int = 1  # number of jobs at the head of the queue that get a reservation
     backfill: int = 1
-    background: int = 1
-    lifting: int = 1
-    direct_commands: int = 1
+    background: int = 1  # run tasks in the background tier
+    lifting: int = 1  # promote background tasks to the foreground, in place or by a move
+    direct_commands: int = 1  # off: commands are sent in the answers to reports only
     preemption: int = 1
-    bind_outgoing: int = 0
-    pack_submissions: int = 1
-    operator_port: int = 0
+    bind_outgoing: int = 0  # connections go out from the address of ``bind``
+    pack_submissions: int = 1  # jobs that wait for the write rate limiter share keys
+    operator_port: int = 0  # 0: no port for operators
     disruption: DisruptionBudgets = DisruptionBudgets()
 
 
 @dataclass(frozen=True, slots=True)
 class Settings:
+    """All settings of one controller."""
+
     node: NodeId
     zone: Zone
-    listen: Address
-    peer_listen: Address
-    peers: tuple[Peer, ...]
+    listen: Address  # for users and workers
+    peer_listen: Address  # for other controllers
+    peers: tuple[Peer, ...]  # the other controllers
     cloud: Address
     state: Address
     zones: tuple[Zone, ...]
-    clock_error_s: Duration
+    clock_error_s: Duration  # upper bound of the error of the time of day
     teams: dict[Team, TeamSettings]
     objectives: tuple[Objective, ...]
-    report_s: Duration
-    lease_s: Duration
-    cancel_s: Duration
-    state_rps: float
-    state_write_rps: float
-    value_bytes: int  # of what is written: the smaller of now and later
-    txn_ops: int  # the same
-    cloud_rps: float
-    list_lag_s: Duration
-    core_share: float
-    memory_mb: float
-    sockets: int
-    write_burst: float = 0.0  # changes at once, as far as the rate allows
-    later_rps: float | None = None  # rates that will hold from some moment, without notice
+    report_s: Duration  # interval between a worker's reports
+    lease_s: Duration  # lifetime of a worker's lease
+    cancel_s: Duration  # after a confirmed cancellation, until no task of the job may run
+    state_rps: float  # requests per second to the state service, for all controllers together
+    state_write_rps: float  # the same for writes
+    value_bytes: int  # largest value: the smaller of the present and the later limit
+    txn_ops: int  # most writes in a transaction: the smaller of both limits
+    cloud_rps: float  # requests per second to the cloud
+    list_lag_s: Duration  # how far the cloud's list of machines may be behind
+    core_share: float  # part of a core that this controller may use
+    memory_mb: float  # memory that it may use
+    sockets: int  # sockets that it may have open
+    write_burst: float = 0.0  # writes that may be made at once, as far as the rate allows
+    later_rps: float | None = None  # rates that will apply from some moment on, without notice
     later_write_rps: float | None = None
     operator: OperatorSettings = field(default_factory=OperatorSettings)
 
     @property
     def node_count(self) -> int:
+        """Number of controllers, this one included."""
         return 1 + len(self.peers)
 
 
 class _Table:
-    """A TOML table whose getters complain with the field's full name."""
+    """A TOML table whose getters raise SettingsError with the full name of the field."""
 
     def __init__(self, values: Any, name: str) -> None:
         if not isinstance(values, dict):
@@ -148,13 +157,13 @@
         if value is None:
             raise SettingsError(f"{self._label(key)}: missing")
         if not isinstance(value, str) or not value:
-            raise SettingsError(f"{self._label(key)}: must be a text that is not empty")
+            raise SettingsError(f"{self._label(key)}: must be a non-empty string")
         return value
 
     def texts(self, key: str) -> list[str]:
         value = self.values.get(key)
         if not isinstance(value, list) or not all(isinstance(v, str) and v for v in value):
-            raise SettingsError(f"{self._label(key)}: must be a list of texts")
+            raise SettingsError(f"{self._label(key)}: must be a list of non-empty strings")
         return value
 
     def number(self, key: str, default: float | None = None, minimum: float = 0.0) -> float:
@@ -164,18 +173,25 @@
         if isinstance(value, bool) or not isinstance(value, int | float):
             raise SettingsError(f"{self._label(key)}: must be a number")
         if not math.isfinite(value) or value < minimum:
-            raise SettingsError(f"{self._label(key)}: must be at least {minimum:g}")
+            raise SettingsError(
+                f"{self._label(key)}: must be a finite number of at least {minimum:g}"
+            )
         return float(value)
 
     def address(self, key: str) -> Address:
         host, colon, port = self.text(key).rpartition(":")
         if not colon or not host or not port.isdigit() or not 0 < int(port) < 65536:
-            raise SettingsError(f"{self._label(key)}: must be HOST:PORT")
+            raise SettingsError(
+                f"{self._label(key)}: must be HOST:PORT with a port from 1 to 65535"
+            )
         return Address(host, int(port))
 
 
 def load(path: Path, operator_path: Path | None = None) -> Settings:
-    """Read and check the platform's file and, if given, the operators' own."""
+    """Reads and checks the platform's file and, if given, the operators' file.
+
+    Raises SettingsError.
+    """
     try:
         document = tomllib.loads(path.read_text(encoding="utf-8"))
     except OSError as error:
@@ -192,8 +208,9 @@
     params, services = root.table("params"), root.table("endpoints")
     workers, state = params.table("workers"), params.table("state")
     cloud, machine = params.table("cloud"), params.table("machine_limits")
-    # What the state service will allow from some moment. Sizes keep to the smaller of both
-    # from the start, since what is too large is refused for good; rates once refusals show it.
+    # Limits that the state service will apply from some moment on. The smaller sizes apply from
+    # the start, since a larger value or transaction would be refused again and again. The lower
+    # rates apply once refusals show that the service has changed its limits.
     later = state.table("next") if "next" in state.values else _Table({}, "params.state.next")
     value_kb, txn_ops = (
         state.number("value_kb", minimum=1.0),
@@ -236,20 +253,21 @@
         raise SettingsError("params.zones: must name at least one zone")
     names = [settings.node, *(peer.name for peer in settings.peers)]
     if len(set(names)) != len(names):
-        raise SettingsError("seeds: a node is named twice, or names this node")
+        raise SettingsError("seeds: every host_name must be unique and differ from this node's")
     if settings.cancel_s <= settings.lease_s:
-        # A worker cut off from everybody keeps its tasks for a lease.
+        # A worker that is cut off from all controllers runs its tasks until its lease expires.
         raise SettingsError("params.workers.cancel_s: must be longer than lease_s")
     return settings
 
 
 def _team(row: _Table) -> TeamSettings:
+    """Reads a team; an amount of 0 or none means no guarantee, or no limit."""
     limits = {}
     for kind in ("cpus", "gpus"):
         most = row.number(f"{kind}_max", 0.0)
         limits[kind] = most or None
         if most and row.number(kind, 0.0) > most:
-            raise SettingsError(f"{row.name}.{kind}: is more than {kind}_max")
+            raise SettingsError(f"{row.name}.{kind}: must not exceed {kind}_max")
     return TeamSettings(
         Team(row.text("name")),
         Resources(row.number("cpus", 0.0), row.number("gpus", 0.0), math.inf),
@@ -269,14 +287,17 @@
 
 
 def load_operator_settings(path: Path) -> OperatorSettings:
-    """``(dunehold (leader-lease-s 3.0) ...)``; every name is optional."""
-    import sexpdata  # only needed when there is such a file
+    """Reads a file like ``(dunehold (leader-lease-s 3.0) ...)``, where every name is optional.
+
+    Raises SettingsError.
+    """
+    import sexpdata  # needed only if there is such a file
 
     try:
         form = sexpdata.loads(path.read_text(encoding="utf-8"))
     except OSError as error:
         raise SettingsError(f"{path}: {error.strerror}") from None
-    except Exception as error:  # sexpdata raises several unrelated kinds
+    except Exception as error:  # sexpdata raises several unrelated types
         raise SettingsError(f"{path}: not an S-expression: {error}") from None
     if not isinstance(form, list) or not form or str(form[0]) != "dunehold":
         raise SettingsError(f"{path}: must be (dunehold (name value) ...)")
@@ -305,9 +326,9 @@
         values[name] = value
     operator = OperatorSettings(**values)
     if operator.operator_port > 65535:
-        raise SettingsError(f"{path}: operator-port: must be a port, or 0 for none")
+        raise SettingsError(f"{path}: operator-port: must be a port up to 65535, or 0 for none")
     if operator.leader_renew_s * 2 >= operator.leader_lease_s or operator.leader_lease_s < 0.5:
         raise SettingsError(
-            f"{path}: leader-lease-s: must be over twice leader-renew-s, >= 0.5"
+            f"{path}: leader-lease-s: must be at least 0.5 and over twice leader-renew-s"
         )
     return operator
--- a/dunehold/transport/__init__.py
+++ b/dunehold/transport/__init__.py
@@ -1,1 +1,4 @@
-"""Bytes on sockets: HTTP server and client. Knows nothing of jobs or machines."""
+"""HTTP server and client, admission of connections, and rate limiting.
+
+Nothing here depends on jobs or machines.
+"""
--- a/dunehold/transport/http.py
+++ b/dunehold/transport/http.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 over asyncio streams, parsed by h11: a server and a pooled client."""
+"""HTTP/1.1 over asyncio streams, parsed by h11: a server and a client with a pool."""
 
 from __future__ import annotations
 
@@ -19,7 +19,8 @@
 MAX_BODY_BYTES = 64 * 1024
 MAX_HEADER_BYTES = 16 * 1024
 READ_CHUNK_BYTES = 64 * 1024
-REQUEST_TIMEOUT_S = 20.0  # for a whole request to come, and for a whole answer to be taken
+REQUEST_TIMEOUT_S = 20.0  # to receive a request once it has begun, and to send a response
+LISTEN_BACKLOG = 512  # connections that the kernel queues until they are accepted
 OVERLOADED_RESPONSE = (
     b"HTTP/1.1 503 Service Unavailable\r\nContent-Type: application/json\r\n"
     b"Content-Length: 2\r\nRetry-After: 1\r\nConnection: close\r\n\r\n{}"
@@ -28,7 +29,7 @@
 
 
 def parse_address(text: str) -> tuple[str, int] | None:
-    """``HOST:PORT`` as people type it; None for anything else."""
+    """Parses ``HOST:PORT``; returns None for anything else."""
     host, colon, port = text.rpartition(":")
     return (host, int(port)) if colon and port.isdigit() else None
 
@@ -38,6 +39,8 @@
 
 
 class Request(NamedTuple):
+    """A request; ``path`` is unquoted and has no query string."""
+
     method: str
     path: str
     query: dict[str, str]
@@ -46,46 +49,53 @@
 
 
 class Response(NamedTuple):
+    """A response with a JSON body."""
+
     status: int
     body: bytes = b"{}"
-    retry_after: int | None = None
-    close: bool = False  # the connection, once this is sent
+    retry_after: int | None = None  # seconds; None: no Retry-After header
+    close: bool = False  # close the connection after sending
 
 
 class NoResponse(Exception):
-    """No answer came: the request may have been carried out, now or later."""
+    """No answer came. The request may have been executed, or may still be executed later."""
 
 
 class Refused(NoResponse):
-    """The connection was refused: there is a way there, and nothing was sent."""
+    """The connection was refused: the host is reachable, and no request was sent."""
 
 
 Handler = Callable[[Request], Awaitable[Response]]
 
 
 class Client(Protocol):
-    """What the layers above need of a client; the tests bring one of their own."""
+    """The interface that other modules use; tests provide their own implementation."""
 
     async def request(
         self, method: str, target: str, body: bytes | None, timeout_s: float
-    ) -> tuple[int, bytes]: ...
+    ) -> tuple[int, bytes]:
+        """Returns status and body; raises NoResponse if none came in time."""
+        ...
 
-    def close(self) -> None: ...
+    def close(self) -> None:
+        """Closes the idle connections."""
+        ...
 
 
-Connect = Callable[[str, int, int], Client]  # host, port, most requests at once
+Connect = Callable[[str, int, int], Client]  # host, port, max. connections
 
 
 @dataclass(slots=True)
 class HttpServer:
-    """Serves one address. ``max_connections`` bounds the sockets that it may hold.
+    """Serves one address and holds at most ``max_connections`` connections.
 
-    ``purpose_of`` tells from a request what its connection is for; each purpose has a share.
+    ``purpose_of`` determines from a request what its connection is used for. Each purpose has a
+    share of the connections, see ``Admission``.
     """
 
     handler: Handler
     max_connections: int
-    idle_timeout_s: float = 90.0
+    idle_timeout_s: float = 90.0  # for a peer that sends nothing
     purpose_of: Callable[[Request], Purpose] = lambda request: Purpose.USER
     admission: Admission = field(init=False)
     _open: set[asyncio.StreamWriter] = field(default_factory=set)
@@ -94,31 +104,37 @@
         self.admission = Admission(self.max_connections)
 
     async def start(self, host: str, port: int) -> asyncio.Server:
+        """Starts to listen; raises OSError if the address can't be used."""
         return await asyncio.start_server(
-            self._serve, host, port, limit=READ_CHUNK_BYTES, backlog=512, reuse_address=True
+            self._serve,
+            host,
+            port,
+            limit=READ_CHUNK_BYTES,
+            backlog=LISTEN_BACKLOG,
+            reuse_address=True,
         )
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        # A flood of connections must not take the sockets that other purposes need.
+        # Admission keeps a flood of connections from taking the sockets of other purposes.
         peer = str((writer.get_extra_info("peername") or ("",))[0])
-        line = self.admission.admit(writer.transport.abort, peer, _now())
-        if line is None:
+        admitted = self.admission.admit(writer.transport.abort, peer, _now())
+        if admitted is None:
             writer.write(OVERLOADED_RESPONSE)
             writer.close()
             return
         self._open.add(writer)
         conn = h11.Connection(h11.SERVER, max_incomplete_event_size=MAX_HEADER_BYTES)
         try:
-            while await self._exchange(conn, reader, writer, line):
+            while await self._exchange(conn, reader, writer, admitted):
                 conn.start_next_cycle()
         except (OSError, TimeoutError, h11.RemoteProtocolError, asyncio.IncompleteReadError):
             pass
         except Exception:
-            # Whatever a peer sends, it must not end the process.
-            log.exception("connection handler failed")
+            # No input from a peer may end the process.
+            log.exception("unexpected error on a connection; closing it")
         finally:
             self._open.discard(writer)
-            self.admission.release(line)
+            self.admission.release(admitted)
             writer.close()
 
     async def _exchange(
@@ -126,9 +142,9 @@
         conn: h11.Connection,
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
-        line: AdmittedConnection,
+        admitted: AdmittedConnection,
     ) -> bool:
-        """One request and its response; true while the connection may be used again."""
+        """Handles one request; returns whether the connection can serve another one."""
         try:
             request = await self._read(conn, reader)
         except h11.RemoteProtocolError as error:
@@ -141,36 +157,38 @@
         if isinstance(request, Response):
             await self._send(conn, writer, request, close=True)
             return False
-        self.admission.begin_request(line, self.purpose_of(request))
+        self.admission.begin_request(admitted, self.purpose_of(request))
         try:
-            response = await self.handler(request._replace(peer=line.peer))
+            response = await self.handler(request._replace(peer=admitted.peer))
         except ConnectionError:
-            raise  # the handler gives the connection up, not the request alone
+            raise  # the handler asks to drop the connection without an answer
         except Exception:
-            log.exception("request %s %s failed", request.method, request.path)
+            log.exception("request %s %s failed; answering 503", request.method, request.path)
             response = Response(503, retry_after=1)
         await self._send(conn, writer, response, close=response.close)
-        self.admission.end_request(line, _now())
+        self.admission.end_request(admitted, _now())
         return conn.our_state is h11.DONE and conn.their_state is h11.DONE
 
     async def _read(
         self, conn: h11.Connection, reader: asyncio.StreamReader
     ) -> Request | Response | None:
+        """Reads a request; returns a Response that refuses it, or None if the peer closed."""
         head: h11.Request | None = None
         parts: list[bytes] = []
         size = 0
-        due: float | None = None  # a sender that dribbles must not hold its connection for ever
+        # Set with the first bytes: a slow sender must not hold its connection indefinitely.
+        deadline: float | None = None
         while True:
             event = conn.next_event()
             if event is h11.NEED_DATA:
-                left = (
+                timeout_s = (
                     self.idle_timeout_s
-                    if due is None
-                    else min(self.idle_timeout_s, due - _now())
+                    if deadline is None
+                    else min(self.idle_timeout_s, deadline - _now())
                 )
-                async with asyncio.timeout(left):
+                async with asyncio.timeout(timeout_s):
                     conn.receive_data(await reader.read(READ_CHUNK_BYTES))
-                due = due or _now() + REQUEST_TIMEOUT_S
+                deadline = deadline or _now() + REQUEST_TIMEOUT_S
             elif isinstance(event, h11.Request):
                 head = event
                 if conn.they_are_waiting_for_100_continue:
@@ -216,12 +234,13 @@
         ]
         writer.write(b"".join(chunk for chunk in chunks if chunk))
         if writer.transport.get_write_buffer_size():
-            async with asyncio.timeout(REQUEST_TIMEOUT_S):  # nor one that does not read
+            # A peer that does not read must not hold its connection indefinitely, either.
+            async with asyncio.timeout(REQUEST_TIMEOUT_S):
                 await writer.drain()
 
 
 class ClientResponse(NamedTuple):
-    """What came back; ``retry_after_s`` is 0 where the server named none."""
+    """A response; ``retry_after_s`` is 0 if the server sent no Retry-After in seconds."""
 
     status: int
     body: bytes
@@ -236,9 +255,9 @@
 
 @dataclass(slots=True)
 class HttpClient:
-    """Requests to one address over kept-open connections, at most ``max_links`` at once.
+    """Sends requests to one address over a pool of at most ``max_connections`` connections.
 
-    ``local_host``: the address of this machine that connections go out from.
+    If ``local_host`` is set, connections go out from that address of this machine.
     """
 
     host: str
@@ -251,45 +270,49 @@
     async def request(
         self, method: str, target: str, body: bytes | None, timeout_s: float
     ) -> tuple[int, bytes]:
-        """Status and body, or NoResponse when none came in time."""
+        """Returns status and body; raises NoResponse if none came within ``timeout_s``.
+
+        The time includes the wait for a free connection.
+        """
         return (await self.request_with_retry_after(method, target, body, timeout_s))[:2]
 
     async def request_with_retry_after(
         self, method: str, target: str, body: bytes | None, timeout_s: float
     ) -> ClientResponse:
-        """As ``request``, with what the answer says of a retry."""
+        """Does the same as ``request`` and also returns the time of the Retry-After header."""
         if self._slots is None:
             self._slots = asyncio.Semaphore(self.max_connections)
-        link: _PooledConnection | None = None
+        connection: _PooledConnection | None = None
         try:
             async with asyncio.timeout(timeout_s), self._slots:
-                link = self._take() or await self._connect()
-                answer = await self._exchange(link, method, target, body)
+                connection = self._take() or await self._connect()
+                answer = await self._exchange(connection, method, target, body)
         except ConnectionRefusedError:
             raise Refused("connection refused") from None
         except (OSError, TimeoutError, h11.ProtocolError, EOFError) as error:
-            self._drop(link)
+            self._drop(connection)
             raise NoResponse(f"{type(error).__name__} {error}".strip()) from None
         except BaseException:
-            self._drop(link)
+            self._drop(connection)
             raise
-        if link.conn.our_state is h11.DONE and link.conn.their_state is h11.DONE:
-            link.conn.start_next_cycle()
-            self._idle.append(link)
+        if connection.conn.our_state is h11.DONE and connection.conn.their_state is h11.DONE:
+            connection.conn.start_next_cycle()
+            self._idle.append(connection)
         else:
-            self._drop(link)
+            self._drop(connection)
         return answer
 
     def close(self) -> None:
+        """Closes the idle connections; requests in progress go on."""
         while self._idle:
             self._drop(self._idle.pop())
 
     def _take(self) -> _PooledConnection | None:
         while self._idle:
-            link = self._idle.pop()
-            if not link.reader.at_eof() and not link.writer.is_closing():
-                return link
-            self._drop(link)
+            connection = self._idle.pop()
+            if not connection.reader.at_eof() and not connection.writer.is_closing():
+                return connection
+            self._drop(connection)
         return None
 
     async def _connect(self) -> _PooledConnection:
@@ -300,30 +323,30 @@
         return _PooledConnection(reader, writer, h11.Connection(h11.CLIENT))
 
     @staticmethod
-    def _drop(link: _PooledConnection | None) -> None:
-        if link is not None:
-            link.writer.transport.abort()
+    def _drop(connection: _PooledConnection | None) -> None:
+        if connection is not None:
+            connection.writer.transport.abort()
 
     async def _exchange(
-        self, link: _PooledConnection, method: str, target: str, body: bytes | None
+        self, connection: _PooledConnection, method: str, target: str, body: bytes | None
     ) -> ClientResponse:
         headers = [("Host", f"{self.host}:{self.port}")]
         if body is not None:
             headers.append(("Content-Type", "application/json"))
             headers.append(("Content-Length", str(len(body))))
-        conn = link.conn
+        conn = connection.conn
         out = conn.send(h11.Request(method=method, target=target, headers=headers)) or b""
         if body is not None:
             out += conn.send(h11.Data(data=body)) or b""
         out += conn.send(h11.EndOfMessage()) or b""
-        link.writer.write(out)
-        await link.writer.drain()
+        connection.writer.write(out)
+        await connection.writer.drain()
         status, retry_after_s = 0, 0.0
         parts: list[bytes] = []
         while True:
             event = conn.next_event()
             if event is h11.NEED_DATA:
-                conn.receive_data(await link.reader.read(READ_CHUNK_BYTES))
+                conn.receive_data(await connection.reader.read(READ_CHUNK_BYTES))
             elif isinstance(event, h11.Response):
                 status = event.status_code
                 retry_after_s = _retry_after(event)
@@ -332,7 +355,7 @@
             elif isinstance(event, h11.EndOfMessage):
                 return ClientResponse(status, b"".join(parts), retry_after_s)
             elif isinstance(event, h11.ConnectionClosed):
-                raise EOFError("closed")
+                raise EOFError("peer closed the connection before the response was complete")
 
 
 def _retry_after(response: h11.Response) -> float:
--- a/dunehold/types.py
+++ b/dunehold/types.py
@@ -1,4 +1,4 @@
-"""Small types of their own for ids, versions, times and amounts."""
+"""Types for ids, versions, times, resources and the states of jobs, tasks and zones."""
 
 from __future__ import annotations
 
@@ -6,29 +6,30 @@
 from typing import NamedTuple, NewType
 
 JobId = NewType("JobId", str)
-HostId = NewType("HostId", str)
-NodeId = NewType("NodeId", str)
-RentalId = NewType("RentalId", str)
-OrderId = NewType("OrderId", str)  # of operators
+HostId = NewType("HostId", str)  # a machine with its worker
+NodeId = NewType("NodeId", str)  # a controller
+RentalId = NewType("RentalId", str)  # a request to rent machines
+OrderId = NewType("OrderId", str)  # an operators' maintenance order
 Team = NewType("Team", str)
 Zone = NewType("Zone", str)
-TypeName = NewType("TypeName", str)
+TypeName = NewType("TypeName", str)  # a machine type
 Image = NewType("Image", str)
 
-Token = NewType("Token", int)  # who may command the workers; higher is newer
-Attempt = NewType("Attempt", int)  # one try to run a task; never reused
-Session = NewType("Session", int)  # one life of a worker's lease
-Sequence = NewType("Sequence", int)  # order of a worker's messages in a session
-Revision = NewType("Revision", int)  # version of a key or of the whole state service
-LeaseId = NewType("LeaseId", int)
+Token = NewType("Token", int)  # fencing token: the highest one may command the workers
+Attempt = NewType("Attempt", int)  # number of an attempt to run a task; never reused
+Session = NewType("Session", int)  # number of a worker's session, which ends with its lease
+Sequence = NewType("Sequence", int)  # number of a worker's message within its session
+Revision = NewType("Revision", int)  # of a key, or of the whole state service
+LeaseId = NewType("LeaseId", int)  # a lease of the state service
 
-MonotonicTime = NewType("MonotonicTime", float)  # this process's steady clock, seconds
-WallTime = NewType("WallTime", float)  # time of day, seconds, within the clock error
+MonotonicTime = NewType("MonotonicTime", float)  # steady clock of this process, seconds
+# Time of day, seconds since the epoch; off by at most the clock error of the settings.
+WallTime = NewType("WallTime", float)
 Duration = NewType("Duration", float)  # seconds
 
 
 class TaskId(NamedTuple):
-    """Task ``index`` of ``job``."""
+    """Task ``number`` of ``job``, counted from 0."""
 
     job: JobId
     number: int
@@ -38,7 +39,7 @@
 
 
 class AttemptId(NamedTuple):
-    """One try of one task."""
+    """One attempt to run a task."""
 
     task: TaskId
     attempt: Attempt
@@ -48,7 +49,7 @@
 
 
 class Resources(NamedTuple):
-    """Amounts of a machine: what a task takes, or what is left."""
+    """Resources that a task needs, or that a machine or a team has. Amounts may be infinite."""
 
     cpus: float
     gpus: float
@@ -68,6 +69,7 @@
         return Resources(self.cpus * number, self.gpus * number, self.memory_gb * number)
 
     def holds(self, need: Resources) -> bool:
+        """Tells whether ``need`` fits, apart from rounding errors."""
         return (
             need.cpus <= self.cpus + EPSILON
             and need.gpus <= self.gpus + EPSILON
@@ -75,22 +77,22 @@
         )
 
     def count_fitting(self, need: Resources) -> int:
-        """How many times ``need`` fits."""
+        """How many times ``need`` fits, at most UNBOUNDED."""
         fits = [
-            int(min((have + EPSILON) / want, UNBOUNDED))  # a limit may be infinite
+            int(min((have + EPSILON) / want, UNBOUNDED))  # amounts may be infinite
             for have, want in zip(self, need, strict=True)
             if want > EPSILON
         ]
         return max(0, min(fits)) if fits else UNBOUNDED
 
 
-EPSILON = 1e-6
-UNBOUNDED = 1_000_000
+EPSILON = 1e-6  # tolerance for rounding errors: vCPUs, GPUs or GB
+UNBOUNDED = 1_000_000  # tasks; stands for any number
 NO_RESOURCES = Resources(0.0, 0.0, 0.0)
 
 
 class Rank(IntEnum):
-    """Priority; higher goes first."""
+    """Priority of a job; the highest number goes first."""
 
     LOW = 0
     NORMAL = 1
@@ -99,13 +101,15 @@
 
 
 class JobKind(StrEnum):
-    ARRAY = "array"
-    GANG = "gang"  # runs only while all its tasks do
-    SERVICE = "service"
+    """How the tasks of a job relate to each other."""
+
+    ARRAY = "array"  # tasks run independently
+    GANG = "gang"  # all tasks run at the same time, or none
+    SERVICE = "service"  # replicas that run until the job is cancelled
 
 
 class JobPhase(StrEnum):
-    """What is durable about a job; whether it runs just now is not."""
+    """The durable state of a job. Whether it is running at the moment is not part of it."""
 
     ACTIVE = "active"
     CANCELLED = "cancelled"
@@ -113,11 +117,12 @@
 
     @property
     def final(self) -> bool:
+        """Whether the job has ended, so that its state changes no more."""
         return self is not JobPhase.ACTIVE
 
 
 class ZoneCondition(StrEnum):
-    """Of a zone, as the leader judges it."""
+    """The condition of a zone, as the leader judges it."""
 
     HEALTHY = "well"
     SUSPECT = "doubtful"
@@ -126,10 +131,12 @@
 
 
 class TaskPhase(StrEnum):
-    FETCHING = "fetching"
-    WAITING = "waiting"
+    """What a worker does with a task."""
+
+    FETCHING = "fetching"  # fetches the image
+    WAITING = "waiting"  # waits for the other tasks of the gang
     RUNNING = "running"
-    SAVING = "saving"
+    SAVING = "saving"  # saves the state of a task that is being stopped
     EXITED = "exited"
 
 
@@ -141,14 +148,17 @@
     ERROR = "error"
     NO_ROOM = "no_room"
     BUSY = "busy"
-    GANG_MEMBER_LOST = "peers"  # a task of its gang went away
-    GANG_INCOMPLETE = "alone"  # its gang did not come together in time
+    GANG_MEMBER_LOST = "peers"  # another task of its gang was lost
+    GANG_INCOMPLETE = "alone"  # not all tasks of its gang were ready in time
     UNKNOWN = "unknown"
     OTHER = "other"
 
 
 class Tier(IntEnum):
-    """MEASY's tiers: background work runs in room promised to the reservation."""
+    """Tiers of MEASY, the scheduling policy.
+
+    Background tasks run on resources that are reserved for another job.
+    """
 
     FOREGROUND = 0
     BACKGROUND = 1
--- a/run.py
+++ b/run.py
@@ -1,4 +1,4 @@
-"""Start one controller: ``python3 run.py --config FILE`` is ``dunehold serve``."""
+"""Runs one controller; ``python3 run.py ARGUMENTS`` equals ``dunehold serve ARGUMENTS``."""
 
 import sys
 from pathlib import Path
