--- a/dunehold/bookkeeping/ledger.py
+++ b/dunehold/bookkeeping/ledger.py
@@ -1,8 +1,10 @@
-"""What may be on which machine. The ledger alone decides whether a start is allowed.
+"""The leader's in-memory account of hosts, attempts and team usage.
 
-*Unknown means present*: an attempt that was commanded occupies its machine and its team's
-limit until it is proved gone. The proofs are a newer report without it, a newer session, a
-completed delete, and a worker lease that nobody can have renewed.
+The ledger alone decides whether a task may be started on a host. An attempt whose state is
+unknown counts as present: once it was commanded, it occupies its host and counts against its
+team's limit until it is proved gone. The proofs are a newer report that does not list it, a
+newer session of its worker, a completed deletion of its host, and the expiry of a worker lease
+that nobody can have renewed.
 """
 
 from __future__ import annotations
@@ -44,13 +46,17 @@
 
 log = logging.getLogger(__name__)
 
+# An attempt number is a counter in this many lower bits, with the leader's token above them.
 ATTEMPT_BITS = 32
-WORKER_LEASE_DRIFT_FACTOR = (
-    1.002  # two clocks that each run up to 0.05% fast, with room to spare
-)
+# Two clocks may each be off by up to 0.05%; the factor allows for more than both together.
+WORKER_LEASE_DRIFT_FACTOR = 1.002
 LEASE_MARGIN_S = 0.5
-TIMELY_LEASE_FRACTION = 1 / 3  # of a lease: longer without a report, and times mean little
-RELAY_EXPIRY_S = 2.5  # a node feeds for another by proofs that are at most 2 s old
+# After a longer silence than this fraction of a worker lease, the time at which a report shows
+# a change says little about when the change took place.
+TIMELY_LEASE_FRACTION = 1 / 3
+# A relay may go on for this long after its key has gone, since it relies on proofs that are at
+# most 2 s old.
+RELAY_EXPIRY_S = 2.5
 
 
 IGNORED = ReportOutcome(False)
@@ -58,7 +64,25 @@
 
 @dataclass(slots=True)
 class Ledger:
-    """Machines, attempts and quota under one leader's token."""
+    """Hosts, attempts and team usage during one leader's term.
+
+    Attributes:
+        took_over_at: start of the term; also the creation time of hosts found on record.
+        lease_s: duration of a worker lease.
+        max_proof_age_s: how long a node renews worker leases without a new proof that its view
+            is current.
+        runs_by_task: attempts that occupy a host, by task.
+        reported_done: tasks that were reported as done, by job. Their completions may not be
+            durable yet.
+        unreconciled: hosts on record that have not answered this leader, with the tasks of
+            earlier leaders that they may hold.
+        out_of_service_order: returns the operators' order that takes a host out of service
+            according to the present view, or None.
+        relayed_until: by zone, the latest time until which a relay may renew leases there.
+        released: tasks that can no longer be on an unreconciled host, and may be scheduled.
+        lost_without_reports: number of attempts that were lost with the worker lease of a host
+            that had answered direct calls after its last report.
+    """
 
     view: View
     token: Token
@@ -66,30 +90,21 @@
     teams: dict[Team, TeamSettings]
     types: dict[TypeName, MachineType]
     lease_s: Duration
-    max_proof_age_s: Duration  # how long a node feeds leases without proof of a current view
+    max_proof_age_s: Duration
     hosts: dict[HostId, Host] = field(default_factory=dict)
     runs_by_task: dict[TaskId, list[Run]] = field(default_factory=dict)
     task_zones_by_job: dict[JobId, dict[TaskId, Zone]] = field(default_factory=dict)
     usage_by_team: dict[Team, Resources] = field(default_factory=dict)
-    reported_done: dict[JobId, set[int]] = field(
-        default_factory=dict
-    )  # reported, maybe not durable
+    reported_done: dict[JobId, set[int]] = field(default_factory=dict)
     deleted_hosts: set[HostId] = field(default_factory=set)
-    unreconciled: UnreconciledHosts = field(
-        default_factory=UnreconciledHosts
-    )  # what earlier leaders may have left
-    # The order by which a machine is out of service, as the view has it at this moment.
+    unreconciled: UnreconciledHosts = field(default_factory=UnreconciledHosts)
     out_of_service_order: Callable[[Host], OrderId | None] = lambda host: None
-    relayed_until: dict[Zone, MonotonicTime] = field(
-        default_factory=dict
-    )  # fed till then at most
-    _relay_changes: dict[Zone, int] = field(default_factory=dict)
-    _zones: dict[JobId, dict[Zone, int]] = field(default_factory=dict)
-    released: list[TaskId] = field(default_factory=list)  # no more among them, to be placed
-    lost_without_reports: int = (
-        0  # attempts lost with leases of machines that only direct calls reached
-    )
-    _attempts: int = 0
+    relayed_until: dict[Zone, MonotonicTime] = field(default_factory=dict)
+    _relay_changes: dict[Zone, int] = field(default_factory=dict)  # as of the last update
+    _zones: dict[JobId, dict[Zone, int]] = field(default_factory=dict)  # placed tasks by zone
+    released: list[TaskId] = field(default_factory=list)
+    lost_without_reports: int = 0
+    _attempts: int = 0  # attempt numbers handed out in this term
     _gang_attempts: dict[JobId, Attempt] = field(default_factory=dict)
 
     def __post_init__(self) -> None:
@@ -108,7 +123,7 @@
         for placed in self.view.start_log.values():
             self.unreconciled.add_logged_tasks(placed, self.view.jobs)
 
-    # -- machines ------------------------------------------------------------------
+    # -- hosts ---------------------------------------------------------------------
 
     def add_host(
         self,
@@ -119,6 +134,10 @@
         address: str,
         now: MonotonicTime,
     ) -> Host:
+        """Add a host that was created at ``now`` and on which nothing runs.
+
+        A host of an unknown machine type has no capacity.
+        """
         kind = self.types.get(type_name)
         room = kind.capacity if kind is not None else NO_RESOURCES
         entry = Host(host, type_name, zone, spot, address, now, room)
@@ -126,18 +145,19 @@
         return entry
 
     def unreconciled_hosts(self) -> list[Host]:
-        """Registered machines on which an earlier leader's tasks may still be."""
+        """Hosts on record that may still hold tasks of an earlier leader."""
         return [self.hosts[host] for host in self.unreconciled.hosts]
 
     def all_reconciled(self) -> bool:
+        """Whether every host on record has answered this leader, was fenced or was deleted."""
         return not self.unreconciled.hosts
 
     def _mark_reconciled(self, host: Host) -> None:
-        """Nothing of an earlier leader can be on it unseen any more."""
+        """Note that the host can't hold tasks of an earlier leader unknown to this one."""
         self.released += self.unreconciled.mark_reconciled(host.id)
 
     def on_host_deleted(self, host_id: HostId) -> list[Run]:
-        """The cloud has answered: the machine and everything on it are gone."""
+        """Remove a host whose deletion the cloud has confirmed; return the attempts lost."""
         self.deleted_hosts.add(host_id)
         host = self.hosts.get(host_id)
         if host is None:
@@ -147,8 +167,12 @@
         return self._clear(host)
 
     def update_relays(self, now: MonotonicTime) -> None:
-        """Nodes of a cut-off zone may feed its workers, for as long as a proof lasts after
-        their key has gone; a key that came and went counts as well."""
+        """Extend ``relayed_until`` of zones that have, or since the last update had, a relay.
+
+        A node of a zone that is cut off from the leader may renew the leases of its workers
+        while its relay key exists, and after that for as long as its last proof is valid. A key
+        that was written and removed between two updates counts as well.
+        """
         changes = dict(self.view.relay_changes)
         for record in self.view.relays.values():
             self.relayed_until[record.zone] = MonotonicTime(now + RELAY_EXPIRY_S)
@@ -158,24 +182,28 @@
         self._relay_changes = changes
 
     def expire_leases(self, now: MonotonicTime) -> list[Run]:
-        """Clear machines whose worker lease nobody can have renewed.
+        """Fence hosts whose worker lease nobody can have renewed; return the attempts lost.
 
-        ``now`` must be a moment of which the view is proved: a node that fed workers of a
-        cut-off zone before it has its key there.
+        ``now`` must be a time for which the view is proved to be current: the view then has
+        the key of every relay that renewed leases before ``now``.
         """
         lost: list[Run] = []
         for host in self.hosts.values():
             if host.fenced or not self._lease_expired(host, now):
                 continue
             if host.runs:
-                log.info("host %s: lease over, %d attempts are gone", host.id, len(host.runs))
-                if host.heard_at > host.reported_at:  # direct calls reached it meanwhile
+                log.info(
+                    "host %s: worker lease expired; removing %d attempts",
+                    host.id,
+                    len(host.runs),
+                )
+                if host.heard_at > host.reported_at:  # it has answered direct calls since
                     self.lost_without_reports += sum(run.occupies for run in host.runs.values())
             host.fenced = True
             self._mark_reconciled(host)
             host.session_known = False
             host.up = False
-            # Reports of this session may still arrive late; they tell of the past.
+            # Delayed reports of this session may still arrive, but they are out of date.
             host.expired_session = max(host.expired_session, host.session)
             lost.extend(self._clear(host))
         return lost
@@ -184,23 +212,27 @@
         lease_s = self.lease_s * WORKER_LEASE_DRIFT_FACTOR + LEASE_MARGIN_S
         relayed = self.relayed_until.get(host.zone)
         if relayed is not None and now <= relayed + lease_s:
-            # Fed for this leader, too, beyond a cut: also a machine that it has never heard.
+            # A relay may have renewed the lease on behalf of this leader, even if this leader
+            # has never heard from the host.
             return False
         if host.lease_renewed_at is not None:
-            # The lease counts from when the report was sent, which is before it came.
+            # The lease starts when the report is sent, which is before it is received.
             if now <= host.lease_renewed_at + lease_s:
                 return False
             if host.token_confirmed:
                 return True
         if host.created_at != self.took_over_at:
+            # Created in this term: no earlier leader can have renewed its lease.
             return host.lease_renewed_at is not None
-        # Its worker may not have seen our token: the leader before may have fed it until
-        # it stopped for want of proof, and the lease counts from that report.
-        fed = max(self.max_proof_age_s, RELAY_EXPIRY_S)
-        bound = (fed + self.lease_s) * WORKER_LEASE_DRIFT_FACTOR + 2 * LEASE_MARGIN_S
-        return now > self.took_over_at + bound
+        # Its worker may not have seen this leader's token. The previous leader may then have
+        # renewed the lease until its last proof became too old, and the lease starts with the
+        # last report that it answered.
+        renewable_s = max(self.max_proof_age_s, RELAY_EXPIRY_S)
+        bound_s = (renewable_s + self.lease_s) * WORKER_LEASE_DRIFT_FACTOR + 2 * LEASE_MARGIN_S
+        return now > self.took_over_at + bound_s
 
     def _clear(self, host: Host) -> list[Run]:
+        """Remove all attempts from the host; return those that occupied it."""
         runs = list(host.runs.values())
         for run in runs:
             self._remove(host, run)
@@ -209,11 +241,11 @@
     # -- reports -------------------------------------------------------------------
 
     def ingest(self, report: Report, now: MonotonicTime, direct: bool = False) -> ReportOutcome:
-        """Take in a report; only one that carries our token speaks of the present.
+        """Update the host from a worker's report; ``direct`` if it answers a direct call.
 
-        A report with an older token may have been sent before commands of an earlier leader
-        were carried out. One of a dead session, or not newer than the last one, was held up
-        on its way.
+        Reports that do not show the present state are ignored. A report with an older token
+        may have been sent before commands of an earlier leader were carried out. A report of an
+        expired session, or one that is not newer than the last one, was delayed in transit.
         """
         host = self.hosts.get(report.host)
         if host is None or report.token != self.token:
@@ -225,18 +257,18 @@
         lost: list[Run] = []
         changed = not host.session_known
         if report.session > host.session:
-            # The worker's lease ended in between: it killed and forgot all it had.
+            # The worker's lease expired in between: it killed and forgot all its tasks.
             lost = self._clear(host)
             changed = True
-            # A session that is new to us began before this message came, and its lease
-            # counts from then. A direct answer can be the first that we hear of it: what
-            # was fed before belongs to the session before.
+            # The new session and its lease began before this message was received. The first
+            # message of a session can be the answer to a direct call, and renewals that were
+            # noted before belong to the previous session.
             host.lease_renewed_at = now
             host.is_reporting, host.reported_at = False, now
         host.session, host.sequence = report.session, report.sequence
         if not direct:
             host.is_reporting, host.reported_at = True, now
-        # Seen late, an end says little of how long the task ran.
+        # If an exit is reported late, it says little about how long the task ran.
         timely = now - host.heard_at <= self.lease_s * TIMELY_LEASE_FRACTION
         host.heard_at = now
         host.session_known = host.up = host.token_confirmed = True
@@ -265,9 +297,10 @@
             if run.id in listed:
                 continue
             if not direct:
-                # The worker reported again without it: it dropped that response for good.
-                # The body of a direct answer proves no such thing, for it may have been
-                # written while the response to the last report was still on its way.
+                # The worker has sent another report without this attempt, so it will not
+                # carry out the response to an earlier report any more. The answer to a direct
+                # call does not prove this: it may have been written while the response to the
+                # last report was still in transit.
                 run.in_report_response = False
             if run.reported or (run.unsent and run.stop_grace_s is not None):
                 self._remove(host, run)
@@ -291,11 +324,11 @@
         if run.image not in host.images:
             host.version += 1
         host.images[run.image] = (now, run.image_gb)
-        was = run.phase
-        if was is TaskPhase.EXITED:
+        previous = run.phase
+        if previous is TaskPhase.EXITED:
             return None
         run.phase = task.phase
-        if task.phase is not was:
+        if task.phase is not previous:
             host.version += 1
         if task.phase is TaskPhase.RUNNING and run.running_at is None:
             run.running_at = now
@@ -306,13 +339,16 @@
             run.duration_s = Duration(now - run.running_at)
         run.exit_reason = task.exit_reason
         self._release(host, run)
-        why = task.exit_reason or ExitReason.OTHER
-        if why is ExitReason.DONE and not run.service:
+        reason = task.exit_reason or ExitReason.OTHER
+        if reason is ExitReason.DONE and not run.service:
             self.reported_done.setdefault(run.id.task.job, set()).add(run.id.task.number)
-        return AttemptExit(run, why, task.saved)
+        return AttemptExit(run, reason, task.saved)
 
     def _adopt(self, host: Host, task: TaskReport, now: MonotonicTime) -> Run:
-        """An attempt that another leader started."""
+        """Add an attempt that this ledger does not have, as another leader started it.
+
+        If the job's spec is not known, the attempt counts as one that uses no resources.
+        """
         record = self.view.jobs.get(task.id.task.job)
         spec = record.spec if record is not None else None
         team = spec.team if spec is not None else Team("")
@@ -330,7 +366,7 @@
     def refusal(
         self, record: JobRecord, task: TaskId, host: Host, now: MonotonicTime
     ) -> str | None:
-        """Why this task may not be started on this machine now, or None."""
+        """Return why the task may not be started on the host now, or None if it may."""
         spec = record.spec
         if spec is None or record.phase is not JobPhase.ACTIVE:
             return "job is over"
@@ -345,8 +381,8 @@
         if not host.session_known or host.draining is not None or host.deleting:
             return "machine is not usable"
         if not host.is_reporting:
-            # Guards against a machine that direct calls reach and that reaches no controller:
-            # whatever is started there dies with its lease, again and again.
+            # Guards against a host that can be reached by direct calls but can't reach any
+            # controller. Every task started there would be killed as its lease expires.
             return "machine does not report"
         if self.out_of_service_order(host) is not None:
             return "machine is out of service"
@@ -366,20 +402,25 @@
         return None
 
     def may_run_on_unreconciled_host(self, task: TaskId) -> bool:
-        """May a machine that has not answered this leader be running it?"""
+        """Whether a host that has not answered this leader may be running the task."""
         return self.unreconciled.may_run(task)
 
     def may_start_job(self, spec: JobSpec) -> bool:
-        """Where a task may be depends on where the job's others are: all must be seen."""
-        bound = spec.one_zone or spec.spread or spec.kind is JobKind.GANG
-        return not (bound and self.unreconciled.task_count(spec.id))
+        """Whether tasks of the job may be started as far as unreconciled hosts are concerned.
+
+        If the placement of a task depends on where the job's other tasks are, none may be on a
+        host that has not answered this leader.
+        """
+        depends_on_others = spec.one_zone or spec.spread or spec.kind is JobKind.GANG
+        return not (depends_on_others and self.unreconciled.task_count(spec.id))
 
     def take_released(self) -> list[TaskId]:
+        """Return the released tasks and clear the list."""
         released, self.released = self.released, []
         return released
 
     def must_stay_logged(self, host_id: HostId, task: TaskId) -> bool:
-        """Must the log go on saying that this task may be on this machine?"""
+        """Whether the start log must still say that the task may be on the host."""
         host = self.hosts.get(host_id)
         if host is None or host.fenced:
             return False
@@ -391,37 +432,46 @@
             and task.number in self.reported_done.get(task.job, ())
             and not record.is_task_done(task.number)
         ):
-            # Its end is only in that machine's report: a next leader that knew of none would
-            # run the task once more.
+            # The completion is not durable and only in that host's report. Without the log
+            # entry the next leader would not know that and would run the task again.
             return True
         return any(run.host == host_id for run in self.runs_by_task.get(task, ()))
 
     def team_usage(self, team: Team) -> Resources:
+        """Resources of the team's attempts that occupy a host."""
         return self.usage_by_team.get(team, NO_RESOURCES)
 
     def max_team_usage(self, team: Team) -> Resources:
-        """What it may use at most, on machines that have not answered yet included.
+        """The most that the team may use, including on hosts that have not answered yet.
 
-        Guards against tasks of an earlier leader that run unseen while others start: what
-        machines may hold counts against the teams whose it is, and holds up no other.
+        Guards against exceeding the team's limit while tasks of an earlier leader run unknown
+        to this one. What such a host may hold counts only against the team that owns it, where
+        that is known, so that other teams are not delayed.
         """
         return self.team_usage(team).plus(self.unreconciled.max_usage(team))
 
     def team_allows(self, spec: JobSpec, more: Resources = NO_RESOURCES) -> bool:
+        """Whether the team's limit allows one more task of the job, and ``more`` besides.
+
+        A team that is not in the settings may start nothing.
+        """
         team = self.teams.get(spec.team)
         if team is None:
             return False
         return team.allows(self.max_team_usage(spec.team).plus(spec.need).plus(more))
 
     def is_done(self, record: JobRecord, index: int) -> bool:
+        """Whether the task is done, be it durable or only reported."""
         return record.is_task_done(index) or index in self.reported_done.get(record.id, ())
 
     def job_zones(self, job: JobId) -> dict[Zone, int]:
+        """Number of the job's tasks that occupy a host, by zone."""
         return self._zones.get(job, {})
 
     def plan_start(
         self, record: JobRecord, task: TaskId, host: Host, tier: Tier, now: MonotonicTime
     ) -> Run | str:
+        """Reserve room for a start; return the planned attempt, or why it is not allowed."""
         reason = self.refusal(record, task, host, now)
         if reason is not None:
             return reason
@@ -445,9 +495,10 @@
         return run
 
     def _next_attempt(self, spec: JobSpec) -> Attempt:
-        """The token in the upper half: no attempt number is reused, by any leader.
+        """Return an attempt number that no leader has used before.
 
-        The tasks of a gang that start together share theirs: by it they find one another.
+        The upper bits hold the leader's token. Tasks of a gang that start together share their
+        attempt number, by which they find one another.
         """
         if spec.kind is JobKind.GANG and spec.id in self.task_zones_by_job:
             shared = self._gang_attempts.get(spec.id)
@@ -460,7 +511,7 @@
         return attempt
 
     def withdraw(self, run: Run) -> bool:
-        """Take back a start that was never sent."""
+        """Remove an attempt whose start was never sent; return False if it may have been."""
         host = self.hosts.get(run.host)
         if host is None or not run.unsent:
             return False
@@ -468,6 +519,10 @@
         return True
 
     def stop(self, run: Run, grace_s: Duration) -> None:
+        """Stop an attempt, or withdraw it if its start was never sent.
+
+        A stop that was requested before is replaced only by one with a shorter grace period.
+        """
         if (
             run.occupies
             and not self.withdraw(run)
@@ -479,9 +534,10 @@
                 host.version += 1
 
     def commands(self, host: Host, direct: bool, starts: bool) -> list[Command]:
-        """What the worker should do now, for a report's response or a direct call.
+        """Return the commands for the worker, for a direct call or a report's response.
 
-        Without ``starts``, nothing is started that can't have been started already.
+        Without ``starts``, only starts that may have been sent before are included. The starts
+        returned count as sent.
         """
         out: list[Command] = []
         for run in list(host.runs.values()):
@@ -492,12 +548,13 @@
             if self._unwanted(run):
                 self.stop(run, Duration(0.0))
                 if run.id not in host.runs:
-                    continue  # it was never sent
+                    continue  # withdrawn, since its start was never sent
             if run.unsent and not (starts and run.start_logged):
                 continue
             if not run.reported:
-                # A start that may still come late is made known before it is stopped, so
-                # that the stop ends that attempt for good.
+                # The start is sent even if a stop follows: an earlier copy of it may still
+                # arrive late, and the stop ends the attempt for good only if the worker knows
+                # the attempt.
                 out.append(Start(run.id))
                 if direct:
                     run.unanswered_starts += 1
@@ -508,7 +565,7 @@
         return out
 
     def has_urgent_commands(self, host: Host) -> bool:
-        """Is there anything that shouldn't wait for the worker's next report?"""
+        """Whether a command should not wait for the worker's next report."""
         return any(
             run.occupies
             and (
@@ -519,13 +576,18 @@
         )
 
     def on_direct_response(self, host: Host, starts: Iterable[AttemptId]) -> None:
-        """A direct call was answered: its starts can't come any later."""
+        """Note that a direct call was answered, so that its starts can't arrive later."""
         for attempt in starts:
             run = host.runs.get(attempt)
             if run is not None and run.unanswered_starts:
                 run.unanswered_starts -= 1
 
     def _unwanted(self, run: Run) -> bool:
+        """Whether the attempt has to stop.
+
+        That is so if its job is over or unknown, if its task is done or is not part of the job,
+        or if an older attempt of the task occupies a host.
+        """
         record = self.view.jobs.get(run.id.task.job)
         if record is None or record.phase is not JobPhase.ACTIVE or record.spec is None:
             return True
@@ -536,12 +598,13 @@
         return len(others) > 1 and run.id.attempt != min(r.id.attempt for r in others)
 
     def _may_forget(self, run: Run) -> bool:
-        # After it, a start that arrives late would run the attempt again.
+        """Whether the worker may be told to forget an attempt that has exited."""
+        # Once the worker has forgotten the attempt, a delayed start would run it again.
         if run.unanswered_starts:
             return False
         if run.exit_reason is not ExitReason.DONE or run.service:
             return True
-        # The report is the only trace of the result until its mark is durable.
+        # Until the completion is durable, the result is only in the worker's report.
         record = self.view.jobs.get(run.id.task.job)
         if record is None or record.phase is not JobPhase.ACTIVE:
             return True
@@ -549,9 +612,10 @@
             record.spec is not None and run.id.task.number >= record.spec.tasks
         )
 
-    # -- sums ----------------------------------------------------------------------
+    # -- accounting ----------------------------------------------------------------
 
     def _occupy(self, host: Host, run: Run) -> None:
+        """Add the attempt to the host and to the usage of its team."""
         host.version += 1
         host.runs[run.id] = run
         host.used = host.used.plus(run.need)
@@ -561,7 +625,7 @@
         self._set_zone(task, host.zone)
 
     def _release(self, host: Host, run: Run) -> None:
-        """The attempt takes no room any more, though the worker may still report it."""
+        """Free the attempt's resources. It stays on the host, as its worker may report it."""
         host.version += 1
         host.used = host.used.minus(run.need)
         self.usage_by_team[run.team] = self.team_usage(run.team).minus(run.need)
@@ -569,9 +633,9 @@
         others = [other for other in self.runs_by_task.get(task, ()) if other is not run]
         if others:
             self.runs_by_task[task] = others
-            left = self.hosts.get(others[0].host)
-            if left is not None and left.zone != host.zone:
-                self._set_zone(task, left.zone)
+            other_host = self.hosts.get(others[0].host)
+            if other_host is not None and other_host.zone != host.zone:
+                self._set_zone(task, other_host.zone)
             return
         self.runs_by_task.pop(task, None)
         tasks = self.task_zones_by_job.get(task.job)
@@ -583,7 +647,7 @@
             del self._zones[task.job]
 
     def _set_zone(self, task: TaskId, zone: Zone | None) -> None:
-        """Count the task in its zone, and in no other."""
+        """Count the task in ``zone`` and in no other; None removes it from the counts."""
         tasks = self.task_zones_by_job.setdefault(task.job, {})
         zones = self._zones.setdefault(task.job, {})
         before = tasks.pop(task, None)
@@ -596,11 +660,13 @@
             zones[zone] = zones.get(zone, 0) + 1
 
     def _remove(self, host: Host, run: Run) -> None:
+        """Remove the attempt from the host and free its resources."""
         if host.runs.pop(run.id, None) is not None and run.occupies:
             self._release(host, run)
 
 
 def host_allowed(spec: JobSpec, type_name: TypeName, zone: Zone, spot: bool) -> bool:
+    """Whether the job allows this machine type, zone and kind of rental."""
     if spec.types is not None and type_name not in spec.types:
         return False
     if spec.zone is not None and zone != spec.zone:
--- a/dunehold/bookkeeping/view.py
+++ b/dunehold/bookkeeping/view.py
@@ -1,4 +1,4 @@
-"""This node's copy of the state service's keys, changed only by applying changes in order."""
+"""This node's replicated view of the state service, updated by applying changes in order."""
 
 from __future__ import annotations
 
@@ -30,6 +30,7 @@
 log = logging.getLogger(__name__)
 
 
+# Keys whose versions the view keeps, to be used as guards.
 VERSIONED_PREFIXES = (
     records.HOSTS,
     records.RENTALS,
@@ -47,6 +48,33 @@
 
 @dataclass(slots=True)
 class View:
+    """The decoded contents of the state service as of one revision.
+
+    Attributes:
+        applied: revision up to which changes have been applied.
+        loaded: whether the view holds a listing; False before the first one, and when a new
+            listing is needed.
+        leader: the current leader, if any.
+        token: the newest fencing token, and the version of its key.
+        jobs: all jobs, including those that are over.
+        active: the jobs that are not over.
+        hosts: all host records; ``host_pages`` has the same by page.
+        start_log: tasks by host, by slot of the start log.
+        relay_changes: number of changes of relay keys, by zone.
+        versions: versions of keys that a leader writes repeatedly. As guards they make a write
+            fail that was given up on and is applied late, so that it can't undo a newer one.
+        broken_jobs: jobs that fail on every host.
+        zones: records of zones that are or recently were unhealthy.
+        successor: the zone that should lead next, and the token after which it should.
+        orders_serial: version of the key that is written with every change of an order.
+        disruptions: encoded disruptions, which only the leader decodes.
+        orphan_bitmaps: completion bitmaps of jobs that are not in the view yet.
+        obsolete_bitmaps: jobs that are done but still have bitmaps, as an ordered set.
+        batching_enabled: whether nodes may write batches of submissions.
+        dependencies_resolved: whether the effects of ended jobs on their dependents are kept up
+            to date. False only while a listing is being loaded.
+    """
+
     applied: Revision = Revision(0)
     loaded: bool = False
     leader: LeaderRecord | None = None
@@ -57,36 +85,32 @@
     hosts: dict[HostId, HostRecord] = field(default_factory=dict)
     host_pages: dict[int, dict[HostId, HostRecord]] = field(default_factory=dict)
     rentals: dict[RentalId, Rental] = field(default_factory=dict)
-    start_log: dict[int, records.TasksByHost] = field(default_factory=dict)  # the log, by slot
+    start_log: dict[int, records.TasksByHost] = field(default_factory=dict)
     relays: dict[NodeId, records.RelayRecord] = field(default_factory=dict)
-    relay_changes: dict[Zone, int] = field(default_factory=dict)  # counted for each zone
-    # Of keys that a leader writes again and again: a write that was given up on and comes
-    # late is refused by them, and can't take a newer one back.
+    relay_changes: dict[Zone, int] = field(default_factory=dict)
     versions: dict[str, Revision] = field(default_factory=dict)
-    broken_jobs: set[JobId] = field(default_factory=set)  # found to fail on every machine
-    zones: dict[Zone, records.ZoneRecord] = field(default_factory=dict)  # not well
-    successor: tuple[Zone, Token] | None = None  # who should lead after that token
-    orders: dict[OrderId, Order] = field(default_factory=dict)  # of operators
+    broken_jobs: set[JobId] = field(default_factory=set)
+    zones: dict[Zone, records.ZoneRecord] = field(default_factory=dict)
+    successor: tuple[Zone, Token] | None = None
+    orders: dict[OrderId, Order] = field(default_factory=dict)
     order_progress: dict[OrderId, OrderProgress] = field(default_factory=dict)
-    orders_serial: Revision = Revision(0)  # of the key that every change of an order raises
-    disruptions: Any = None  # as they are written; read by the leader alone
+    orders_serial: Revision = Revision(0)
+    disruptions: Any = None
     orphan_bitmaps: dict[JobId, dict[int, int]] = field(default_factory=dict)
-    obsolete_bitmaps: dict[JobId, None] = field(
-        default_factory=dict
-    )  # done, with marks still kept
+    obsolete_bitmaps: dict[JobId, None] = field(default_factory=dict)
     job_batches: JobBatchIndex = field(default_factory=JobBatchIndex)
-    batching_enabled: bool = False  # packs may be written, by whichever node
+    batching_enabled: bool = False
     dependency_index: DependencyIndex = field(default_factory=DependencyIndex)
-    dependencies_resolved: bool = (
-        True  # what follows from the ends of others is kept up to date
-    )
-    _also: list[JobId] = field(default_factory=list)  # changed along with others
+    dependencies_resolved: bool = True
+    # Jobs that changed because another job ended, and are to be reported as changed.
+    _changed_indirectly: list[JobId] = field(default_factory=list)
 
     def load(self, entries: list[Entry], revision: Revision) -> None:
-        """Start over from a full listing.
+        """Replace the contents by a full listing.
 
-        Its pages may be of different moments: what changed since ``revision``, that of the
-        first, must be applied before anything is told from the view.
+        The pages of a listing may show different moments. The changes since ``revision``, which
+        is that of the first page, must be applied and then resolve_dependencies() called before
+        the view is used for any answer.
         """
         fresh = View(dependencies_resolved=False)
         for entry in entries:
@@ -97,26 +121,30 @@
         self.loaded = True
 
     def resolve_dependencies(self) -> None:
-        """Draw what follows from the ends of others, once nothing of a listing is missing:
-        of two ends of one job, a page of another moment may show the later alone."""
+        """Derive which jobs wait, may start or are cancelled because of other jobs.
+
+        Called once a listing is complete. Before that, the pages may show only the later of two
+        ends of one job, although the earlier one takes precedence.
+        """
         if self.dependencies_resolved:
             return
         self.dependencies_resolved = True
         for record in list(self.active.values()):
-            self._enter(record)
-        self._taken_along()  # all jobs are told of after a listing
+            self._track_dependencies(record)
+        # Discarded, since all jobs are reported as changed after a listing.
+        self._take_indirect_changes()
 
     def apply(self, changes: list[Change], revision: Revision) -> list[JobId]:
-        """Apply what is newer than what is here; the jobs that changed.
+        """Apply the changes that are newer than the view; return the jobs that changed.
 
-        Answers of the watch and of barriers overlap. Anything not newer than ``applied``
-        was seen already, and applying it again would take a key back.
+        Responses to the watch and to barriers overlap. A change that is not newer than
+        ``applied`` is already in the view, and applying it again could revert a key.
         """
         touched: list[JobId] = []
         for change in changes:
             if change.version > self.applied:
                 touched += self._apply_one(change)
-                touched += self._taken_along()
+                touched += self._take_indirect_changes()
         self.applied = max(self.applied, revision)
         return touched
 
@@ -131,11 +159,13 @@
             if key.startswith(records.JOBS):
                 return self._apply_job(JobId(key[len(records.JOBS) :]), change)
             if key.startswith(records.JOB_BATCHES):
-                return self._apply_pack(key[len(records.JOB_BATCHES) :], change)
+                return self._apply_job_batch(key[len(records.JOB_BATCHES) :], change)
             if key.startswith(records.COMPLETION_BATCHES):
-                return self._apply_ends(change)
+                return self._apply_completion_batch(change)
             if key.startswith(records.COMPLETION_BITMAPS):
-                return self._apply_mark(key[len(records.COMPLETION_BITMAPS) :], change)
+                return self._apply_completion_bitmap(
+                    key[len(records.COMPLETION_BITMAPS) :], change
+                )
             if key.startswith(records.HOSTS):
                 self._apply_hosts(int(key[len(records.HOSTS) :]), change)
             elif key.startswith(records.STARTS):
@@ -185,23 +215,23 @@
                 self.token = Token(int(change.value))
                 self.token_version = change.version
         except (ValueError, TypeError, ArithmeticError) as error:
-            log.error("key %s is not readable: %s", key, error)
-        except Exception as error:  # a value written by something else must not end us
-            log.error("key %s is not readable: %r", key, error)
+            log.error("cannot decode key %s, ignoring its change: %s", key, error)
+        except Exception as error:  # a value that another program wrote must not stop this node
+            log.error("cannot decode key %s, ignoring its change: %r", key, error)
         return []
 
     def _apply_job(self, job: JobId, change: Change) -> list[JobId]:
         if change.deleted:
-            return []  # never done by dunehold: an accepted job is kept
+            return []  # dunehold never deletes the record of an accepted job
         record = records.decode_job_record(job, change.value, change.version)
         old = self.jobs.get(job)
         if old is not None:
-            old.version = record.version  # whichever of them stands
-        self._settle(record)
+            old.version = record.version  # the key's version, whichever record is kept
+        self._merge(record)
         return [job]
 
-    def _settle(self, record: JobRecord) -> None:
-        """Take the record up, unless what is known already stands against it."""
+    def _merge(self, record: JobRecord) -> None:
+        """Add the record, unless the known record of that job takes precedence over it."""
         old = self.jobs.get(record.id)
         if old is None:
             record.completion_bitmaps = self.orphan_bitmaps.pop(record.id, {})
@@ -216,50 +246,57 @@
         if record.phase is JobPhase.ACTIVE:
             self.active[record.id] = record
             if self.dependencies_resolved:
-                self._enter(record)
+                self._track_dependencies(record)
         else:
             self.active.pop(record.id, None)
             if self.dependencies_resolved:
-                self._leave(record)
-        self._note_marks(record)
+                self._update_dependents(record)
+        self._update_obsolete_bitmaps(record)
 
-    def _taken_along(self) -> list[JobId]:
-        also = self._also + self.dependency_index.no_longer_needed
-        self._also.clear()
+    def _take_indirect_changes(self) -> list[JobId]:
+        """Return and clear the jobs that changed because of other jobs."""
+        changed = self._changed_indirectly + self.dependency_index.no_longer_needed
+        self._changed_indirectly.clear()
         self.dependency_index.no_longer_needed.clear()
-        return also
+        return changed
 
-    # -- jobs that wait for others ---------------------------------------------------------
+    # -- dependencies ----------------------------------------------------------------------
 
     def waits_for_dependencies(self, job: JobId) -> bool:
-        """Not all that it needs is durably done: nothing of it may start."""
+        """Whether a dependency of the job is not durably done; none of its tasks may start."""
         return job in self.dependency_index.pending
 
-    def _enter(self, record: JobRecord) -> None:
+    def _track_dependencies(self, record: JobRecord) -> None:
+        """Note what an active job waits for, or cancel it if a dependency was cancelled."""
         if record.spec is None or not record.spec.dependencies or record.phase.final:
             return
-        left = []
+        unfinished = []
         for need in record.spec.dependencies:
             other = self.jobs.get(need)
             if other is None or other.phase is JobPhase.ACTIVE:
-                left.append(need)
+                unfinished.append(need)
             elif other.phase is JobPhase.CANCELLED:
                 self._cancel_dependents([record.id, *self.dependency_index.cancel(record.id)])
                 return
-        self.dependency_index.add(record.id, left)
-        if not left:
-            self._free(record)
+        self.dependency_index.add(record.id, unfinished)
+        if not unfinished:
+            self._set_dependencies_done_at(record)
 
-    def _leave(self, record: JobRecord) -> None:
+    def _update_dependents(self, record: JobRecord) -> None:
+        """Apply the end of a job to its dependents."""
         self.dependency_index.forget(record.id)
         if record.phase is JobPhase.CANCELLED:
             self._cancel_dependents(self.dependency_index.cancel(record.id))
             return
         for job in self.dependency_index.complete(record.id):
-            self._free(self.jobs[job])
-            self._also.append(job)
+            self._set_dependencies_done_at(self.jobs[job])
+            self._changed_indirectly.append(job)
 
-    def _free(self, record: JobRecord) -> None:
+    def _set_dependencies_done_at(self, record: JobRecord) -> None:
+        """Set the time at which the last dependency of a job was done.
+
+        A dependency whose end time was not recorded counts from its acceptance.
+        """
         assert record.spec is not None
         ends = [record.accepted_at]
         for need in record.spec.dependencies:
@@ -268,28 +305,32 @@
         record.dependencies_done_at = max(ends)
 
     def _cancel_dependents(self, jobs: list[JobId]) -> None:
-        """They follow from a cancellation that is durable, at every node alike, and none of
-        them has ever started: the job that was cancelled was not done."""
+        """Cancel jobs because a job that they depend on was cancelled.
+
+        Nothing is written: every node derives the same from the durable cancellation. None of
+        the jobs has started, since the cancelled job was not done.
+        """
         for job in jobs:
             record = self.jobs[job]
             record.phase = JobPhase.CANCELLED
             self.active.pop(job, None)
-            self._also.append(job)
+            self._changed_indirectly.append(job)
 
-    def _note_marks(self, record: JobRecord) -> None:
+    def _update_obsolete_bitmaps(self, record: JobRecord) -> None:
+        """Update whether the job has bitmaps that can be deleted."""
         if record.phase is JobPhase.DONE and record.completion_bitmaps:
             self.obsolete_bitmaps[record.id] = None
         else:
             self.obsolete_bitmaps.pop(record.id, None)
 
-    def _apply_pack(self, pack: str, change: Change) -> list[JobId]:
+    def _apply_job_batch(self, batch: str, change: Change) -> list[JobId]:
         if change.deleted:
-            self.job_batches.remove(pack)  # its jobs stay: all of them are over
+            self.job_batches.remove(batch)  # its jobs stay in the view; all of them are over
             return []
-        ours = set()
+        recorded_here = set()  # jobs whose accepted record is the one in this batch
         accepted = decode_job_batch(change.value)
         for spec, at in accepted:
-            self._settle(
+            self._merge(
                 JobRecord(
                     spec.id,
                     JobPhase.ACTIVE,
@@ -298,19 +339,19 @@
                     spec,
                     spec.tasks,
                     phase_revision=change.version,
-                    batch_key=pack,
+                    batch_key=batch,
                 )
             )
-            if self.jobs[spec.id].batch_key == pack:
-                ours.add(spec.id)
-        self.job_batches.add(pack, ours)
+            if self.jobs[spec.id].batch_key == batch:
+                recorded_here.add(spec.id)
+        self.job_batches.add(batch, recorded_here)
         return [spec.id for spec, _ in accepted]
 
-    def _apply_ends(self, change: Change) -> list[JobId]:
+    def _apply_completion_batch(self, change: Change) -> list[JobId]:
         if change.deleted:
             return []
-        ended = decode_completion_batch(change.value)
-        for job, tasks, at, end in ended:
+        completed = decode_completion_batch(change.value)
+        for job, tasks, at, end in completed:
             done = JobRecord(
                 job,
                 JobPhase.DONE,
@@ -321,24 +362,24 @@
                 phase_revision=change.version,
                 ended_at=end,
             )
-            self._settle(done)
-        return [end.id for end in ended]
+            self._merge(done)
+        return [each.id for each in completed]
 
-    def _apply_mark(self, rest: str, change: Change) -> list[JobId]:
+    def _apply_completion_bitmap(self, rest: str, change: Change) -> list[JobId]:
         name, _, page = rest.rpartition("/")
         job = JobId(name)
         record = self.jobs.get(job)
-        marks = (
+        bitmaps = (
             record.completion_bitmaps
             if record is not None
             else self.orphan_bitmaps.setdefault(job, {})
         )
         if change.deleted:
-            marks.pop(int(page), None)
+            bitmaps.pop(int(page), None)
         else:
-            marks[int(page)] = records.decode_bitmap(change.value)
+            bitmaps[int(page)] = records.decode_bitmap(change.value)
         if record is not None:
-            self._note_marks(record)
+            self._update_obsolete_bitmaps(record)
         return [job]
 
     def _apply_order(self, order: OrderId, change: Change) -> None:
@@ -361,6 +402,6 @@
             self.host_pages[page] = rows
             self.hosts.update(rows)
         for host in before:
-            # It may have moved to another page in the same transaction, which came first.
+            # The host may have moved to another page, whose change was applied before.
             if host not in rows and not any(host in p for p in self.host_pages.values()):
                 self.hosts.pop(host, None)
--- a/dunehold/coordination/persistence/recorder.py
+++ b/dunehold/coordination/persistence/recorder.py
@@ -1,4 +1,8 @@
-"""The leader's writes: level-triggered, batched, each guarded by the leader key's version."""
+"""The leader's writes to the state service.
+
+Writes are level-triggered (derived from the difference between the wanted and the recorded
+state) and batched. Each transaction is guarded by the version of the leader key.
+"""
 
 from __future__ import annotations
 
@@ -44,32 +48,51 @@
 log = logging.getLogger(__name__)
 
 RETRY_S = 0.3
-MALFORMED_RETRY_S = 1.0  # after a transaction that the state service finds malformed
-BITMAP_DELAY_S = 20.0
-# Sooner where many tasks end: until its mark is durable, the worker reports each of them,
-# and reports must stay short. One write holds thousands of marks.
-SHORT_DELAY_TASKS, SHORT_BITMAP_DELAY_S = 200, 3.0
+MALFORMED_RETRY_S = 1.0  # after a transaction that the state service rejects as malformed
+BITMAP_DELAY_S = 20.0  # from a job's first unrecorded completion to the write of its bitmap
+# The bitmap is written sooner when many tasks of a job complete: until a task's completion is
+# durable, its worker goes on reporting the task, and reports must stay short. One write holds
+# thousands of completions.
+SHORT_DELAY_TASKS = 200  # unrecorded completions of a job from which the shorter delay applies
+SHORT_BITMAP_DELAY_S = 3.0
 MAX_HOSTS_PER_PAGE = 500
 
 
 class LeadershipLost(Exception):
-    """The leader key is not this leader's any more."""
+    """The leader key does not belong to this leader any more."""
 
 
 @dataclass(slots=True)
 class _PendingBitmaps:
-    """Tasks of a job that ended and are not on record yet."""
+    """A job with completed tasks that are not on record yet."""
 
-    due: float
-    tasks: int = 0
+    due: float  # when the bitmap is to be written, in seconds of the event loop's clock
+    tasks: int = 0  # completions since the last write was scheduled
 
 
 @dataclass(slots=True)
 class Recorder:
-    """Brings the durable records in line with what the leader knows.
-
-    It compares and writes the difference, so that a write whose answer was lost, or that
-    another node's write overtook, is simply made again, or found to be needless.
+    """Brings the durable records in line with the leader's state.
+
+    It compares the two and writes the difference. A write whose response was lost, or that
+    failed because of another node's write, is therefore repeated or found to be unnecessary.
+
+    Attributes:
+        leader_version: version of the leader key when this leader took it.
+        on_written: called after each flush.
+        on_starts_logged: called with the hosts whose starts are durable in the start log, and
+            may be commanded.
+        flush_gap_s: pause after each transaction.
+        wall: returns the wall-clock time in seconds.
+        dirty_jobs: jobs whose completions are to be written, as an ordered set.
+        pending_bitmaps: jobs whose bitmaps are to be written after a delay.
+        dirty_hosts: hosts whose records are to be written or deleted, as an ordered set.
+        starts: planned attempts that are not in the start log yet.
+        new_broken: broken jobs to be written, or None.
+        new_zones: zone records to be written, or None.
+        new_successor: zone that should lead next, to be written, or None.
+        order_progress: progress of orders to be written; None if the order and its progress
+            are to be deleted.
     """
 
     settings: Settings
@@ -89,27 +112,24 @@
     new_rentals: dict[RentalId, Rental] = field(default_factory=dict)
     ended_rentals: dict[RentalId, None] = field(default_factory=dict)
     starts: dict[AttemptId, Run] = field(default_factory=dict)
-    new_broken: set[JobId] | None = None  # to be written
-    new_zones: dict[Zone, ZoneRecord] | None = None  # to be written
-    new_successor: Zone | None = None  # to be written
-    order_progress: dict[OrderId, OrderProgress | None] = field(
-        default_factory=dict
-    )  # None: to be deleted
-    _disruptions: Any = None  # as they are to be written
-    _disruptions_asked: int = 0  # how often there was more to write
-    _disruptions_written: int = 0
+    new_broken: set[JobId] | None = None
+    new_zones: dict[Zone, ZoneRecord] | None = None
+    new_successor: Zone | None = None
+    order_progress: dict[OrderId, OrderProgress | None] = field(default_factory=dict)
+    _disruptions: Any = None  # encoded value to be written
+    _disruptions_requested: int = 0  # sequence number of the value above
+    _disruptions_written: int = 0  # sequence number of the newest value that is durable
     completions: CompletionWriter = field(init=False)
     garbage_collector: GarbageCollector = field(init=False)
-    _most_ops: int = field(init=False)
-    _uncertain_keys: set[str] = field(
-        default_factory=set
-    )  # keys with a write that may come late
-    _slot: int = 0  # of the log of starts, written next
+    _max_ops: int = field(init=False)  # writes per transaction; reduced after a rejection
+    # Keys with a write that was not answered and may still be applied.
+    _uncertain_keys: set[str] = field(default_factory=set)
+    _next_slot: int = 0  # of the start log
     _wake: asyncio.Event = field(default_factory=asyncio.Event)
     _written: asyncio.Event = field(default_factory=asyncio.Event)
 
     def __post_init__(self) -> None:
-        self._most_ops = self.settings.txn_ops
+        self._max_ops = self.settings.txn_ops
         self.completions = CompletionWriter(self.settings, self.token, self.wall)
         self.garbage_collector = GarbageCollector(
             self.settings,
@@ -120,10 +140,11 @@
         )
 
     def record_job(self, job: JobId, finished: bool) -> None:
-        """The end of a job is written at once, the marks of one that goes on some time later.
+        """Schedule the write of a job's completions.
 
-        Until a mark is durable, the machine's report keeps the result; without either the
-        task is only asked for once more, and its worker kept what it had done.
+        The completion of a whole job is written at once, the bitmap of an unfinished job after
+        a delay. Until the bitmap is durable, the worker's reports keep the result. If those are
+        lost too, the task is only started again, and its worker has kept the work it had done.
         """
         if finished:
             self.pending_bitmaps.pop(job, None)
@@ -138,7 +159,7 @@
             if entry.tasks == SHORT_DELAY_TASKS:
                 entry.due = min(entry.due, now + SHORT_BITMAP_DELAY_S)
 
-    def _take_due(self) -> None:
+    def _take_due_bitmaps(self) -> None:
         now = asyncio.get_running_loop().time()
         for job, entry in list(self.pending_bitmaps.items()):
             if entry.due <= now:
@@ -146,91 +167,122 @@
                 self.dirty_jobs[job] = None
 
     def record_host(self, host: HostId) -> None:
+        """Schedule the write or deletion of a host's record, according to the ledger."""
         self.dirty_hosts[host] = None
         self._wake.set()
 
     def log_start(self, run: Run) -> None:
-        """Commanded only once it is in the log: a next leader then knows which tasks a
-        silent machine may have, and need not wait for that machine to place all others."""
+        """Schedule an entry in the start log, without which a start must not be commanded.
+
+        From the log the next leader knows which tasks a silent host may have, so that it can
+        schedule all others without waiting for that host.
+        """
         self.starts[run.id] = run
         self._wake.set()
 
     def record_broken_jobs(self, jobs: set[JobId]) -> None:
-        """A next leader must not find out anew, with a wave of failures for each."""
+        """Schedule the write of the broken jobs.
+
+        Otherwise the next leader would have to detect each of them by another wave of failures.
+        """
         self.new_broken = jobs
         self._wake.set()
 
     def record_zones(self, zones: dict[Zone, ZoneRecord]) -> None:
-        """A next leader must not learn of a lost zone by another wave of rentals."""
+        """Schedule the write of the zone records if they differ from the recorded ones.
+
+        Otherwise the next leader would discover a lost zone only by another wave of rentals
+        there.
+        """
         if self.new_zones is not None or zones != self.view.zones:
             self.new_zones = zones
             self._wake.set()
 
     def record_order_progress(self, order: OrderId, progress: OrderProgress | None) -> None:
-        """How far the leader is with an order; None: nothing is kept of it any more."""
+        """Schedule the write of an order's progress; None deletes it and the order."""
         self.order_progress[order] = progress
         self._wake.set()
 
     async def record_disruptions(self, value: Any) -> None:
-        """Return once it is durable what is about to be stopped by choice: a next leader must
-        not spend the same budget again. A newer value holds what an older one did."""
+        """Write the voluntary disruptions and return once they are durable.
+
+        Called before the disruptions take place, so that the next leader does not spend the
+        same budget again. A newer value must include all disruptions of an older one.
+        """
         self._disruptions = value
-        self._disruptions_asked += 1
-        mine = self._disruptions_asked
-        await self._until(lambda: self._disruptions_written >= mine)
+        self._disruptions_requested += 1
+        requested = self._disruptions_requested
+        await self._wait_until(lambda: self._disruptions_written >= requested)
 
     async def record_successor(self, zone: Zone) -> None:
-        """Return once it is durable which zone should lead after this token. A hint: who leads
-        is decided as ever, and others stand if nobody there does."""
+        """Write which zone should lead after this term and return once that is durable.
+
+        This is only a hint: the leader is still elected as usual, and nodes of other zones
+        become candidates if none of that zone does.
+        """
         self.new_successor = zone
-        await self._until(lambda: self.new_successor is None)
+        await self._wait_until(lambda: self.new_successor is None)
 
     def end_rental(self, rental: RentalId) -> None:
+        """Schedule the deletion of a rental's record."""
         self.ended_rentals[rental] = None
         self._wake.set()
 
     async def record_rentals(self, rentals: list[Rental]) -> None:
-        """Return once the intents are durable: a crash between request and answer must
-        neither lose the machines nor reuse the name."""
+        """Write the rentals and return once they are durable.
+
+        Called before the cloud is asked for the machines: a crash between the request and the
+        response must neither lose the machines nor lead to a reuse of the rental's name.
+        """
         for rental in rentals:
             self.new_rentals[rental.id] = rental
-        await self._until(lambda: not any(rental.id in self.new_rentals for rental in rentals))
+        await self._wait_until(
+            lambda: not any(rental.id in self.new_rentals for rental in rentals)
+        )
 
-    async def _until(self, done: Callable[[], bool]) -> None:
-        """Return once a flush has made it so."""
+    async def _wait_until(self, done: Callable[[], bool]) -> None:
+        """Wake the writer and return once ``done()`` holds after a flush."""
         self._wake.set()
         while not done():
             self._written.clear()
             await self._written.wait()
 
     async def run(self) -> None:
+        """Write what is pending until the task is cancelled.
+
+        Raises LeadershipLost when the leader key has changed.
+        """
         while True:
             with contextlib.suppress(TimeoutError):
                 async with asyncio.timeout(1.0):
                     await self._wake.wait()
             self._wake.clear()
-            self._take_due()
+            self._take_due_bitmaps()
             while self._pending():
                 try:
                     await self._flush()
-                    self._most_ops = min(self.settings.txn_ops, self._most_ops * 2)
+                    self._max_ops = min(self.settings.txn_ops, self._max_ops * 2)
                     await asyncio.sleep(self.flush_gap_s)
                 except Malformed as error:
-                    # The same transaction would be refused for ever: smaller ones come next,
-                    # and what is at fault goes behind everything else.
-                    log.error("records refused, smaller ones follow: %s", error)
-                    self._most_ops = max(1, self._most_ops // 2)
+                    # The same transaction would be rejected again and again. The next ones are
+                    # smaller, and the records that may be at fault move to the end.
+                    log.error(
+                        "state service rejected a transaction as malformed; "
+                        "retrying with smaller transactions: %s",
+                        error,
+                    )
+                    self._max_ops = max(1, self._max_ops // 2)
                     self._rotate_queues()
                     await asyncio.sleep(MALFORMED_RETRY_S)
                 except STATE_SERVICE_ERRORS as error:
-                    log.debug("records not written yet: %s", error)
+                    log.debug("records not written, retrying: %s", error)
                     await asyncio.sleep(RETRY_S)
-            with contextlib.suppress(*STATE_SERVICE_ERRORS):  # tried again in a second
+            with contextlib.suppress(*STATE_SERVICE_ERRORS):  # retried within a second
                 while not self._pending() and await self.garbage_collector.sweep():
                     await asyncio.sleep(self.flush_gap_s)
 
     def _rotate_queues(self) -> None:
-        """Turn each queue, so that another transaction is tried next."""
+        """Move the first item of each queue to its end, to vary the next transaction."""
         queues: list[dict[Any, Any]] = [self.dirty_jobs, self.dirty_hosts]
         queues += [self.starts, self.order_progress]
         for queue in queues:
@@ -246,20 +298,25 @@
             or self.ended_rentals
             or self.new_broken is not None
             or self.new_zones is not None
-            or self._disruptions_written < self._disruptions_asked
+            or self._disruptions_written < self._disruptions_requested
             or self.order_progress
             or self.new_successor is not None
         )
 
     async def _flush(self) -> None:
+        """Write as much of what is pending as fits one transaction.
+
+        Raises LeadershipLost, or what the client of the state service raises. If a guard other
+        than the leader key fails, the view is refreshed and everything stays pending.
+        """
         txn = Txn(guards={records.LEADER_KEY: self.leader_version})
-        limit = self._most_ops
+        limit = self._max_ops
         logged = self._log_starts(txn, max(1, limit // 2))
         rentals = [r for r in self.new_rentals.values()][
             : max(not txn.size, (limit - txn.size) // 2)
         ]
         for rental in rentals:
-            if rental.id not in self.view.rentals:  # else an answer was lost
+            if rental.id not in self.view.rentals:  # else it was written, but not confirmed
                 txn.puts[records.RENTALS + rental.id] = records.encode_rental(rental)
         included: set[HostId] = set()
         hosts = self._host_changes(txn, limit, included)
@@ -278,15 +335,15 @@
         zones = self.new_zones
         if zones is not None and txn.size < limit:
             txn.puts[records.ZONES] = records.encode_zones(zones)
-        asked = self._disruptions_asked
-        if self._disruptions_written < asked and txn.size < limit:
+        requested = self._disruptions_requested
+        if self._disruptions_written < requested and txn.size < limit:
             txn.puts[records.DISRUPTIONS] = self._disruptions
         successor = self.new_successor
         if successor is not None and txn.size < limit:
             txn.puts[records.SUCCESSOR] = records.encode_successor(successor, self.token)
-        upkeep = self._order_changes(txn, limit)
+        order_changes = self._order_changes(txn, limit)
         jobs = []
-        # Who is waited for goes first: what comes after is held up by nothing else.
+        # Jobs with dependents go first: only this write holds up their dependents.
         for job in sorted(
             self.dirty_jobs, key=lambda j: j not in self.view.dependency_index.dependents
         ):
@@ -308,14 +365,15 @@
                 raise LeadershipLost
             if result.ok:
                 self._uncertain_keys -= keys
-                log.debug("recorded %d changes at revision %d", txn.size, result.revision)
+                log.debug("wrote %d records at revision %d", txn.size, result.revision)
                 self._mark_starts_logged(logged)
                 for host_id in included:
                     host = self.ledger.hosts.get(host_id)
                     if host is not None:
                         host.recorded = True
-            if not result.ok or len(txn.puts) + len(txn.deletes) > self._log_keys(txn):
-                # What else was written shows in the view once that has caught up.
+            if not result.ok or len(txn.puts) + len(txn.deletes) > self._start_log_keys(txn):
+                # What was written besides the start log must be in the view before the two are
+                # compared below.
                 await self.sync.barrier(urgent=True)
             if not result.ok:
                 return
@@ -328,25 +386,28 @@
         if records.ZONES in txn.puts and self.new_zones is zones:
             self.new_zones = None
         if records.DISRUPTIONS in txn.puts:
-            self._disruptions_written = asked
+            self._disruptions_written = requested
         if records.SUCCESSOR in txn.puts:
             self.new_successor = None
-        for order, progress in upkeep.items():
+        for order, progress in order_changes.items():
             if self.order_progress[order] is progress:
                 del self.order_progress[order]
         for host_id in hosts:
-            # What changed while this was under way is still to be written.
+            # A host that changed during the write stays dirty.
             if self._wanted_host(host_id) == self.view.hosts.get(host_id):
                 self.dirty_hosts.pop(host_id, None)
         for job in jobs:
             self.dirty_jobs.pop(job, None)
             if job in self.view.active and self._job_differs(job):
-                self.record_job(job, self._finished(self.view.active[job]))
+                self.record_job(job, self._is_finished(self.view.active[job]))
         self._written.set()
         self.on_written()
 
     def _order_changes(self, txn: Txn, limit: int) -> dict[OrderId, OrderProgress | None]:
-        """As many as fit; an order that has ended goes with what is kept of it."""
+        """Add as much progress as fits, and return it.
+
+        An order without progress is deleted together with the record of its progress.
+        """
         taken: dict[OrderId, OrderProgress | None] = {}
         for order, progress in self.order_progress.items():
             if txn.size + 2 > limit:
@@ -357,7 +418,7 @@
                 continue
             known = self.view.orders.get(order)
             if known is not None:
-                # Whatever an operator said of it meanwhile stands against this.
+                # The guard makes the deletion fail if an operator has changed the order since.
                 txn.guards[records.ORDERS + order] = known.version
                 txn.deletes.add(records.ORDERS + order)
             if order in self.view.order_progress:
@@ -367,25 +428,26 @@
     # -- starts ----------------------------------------------------------------------
 
     @staticmethod
-    def _log_keys(txn: Txn) -> int:
+    def _start_log_keys(txn: Txn) -> int:
+        """Number of start log slots that the transaction writes."""
         return sum(key.startswith(records.STARTS) for key in txn.puts)
 
     def _log_starts(self, txn: Txn, slots: int) -> list[Run]:
-        """Put what is to be started into the next slots of the ring.
+        """Write planned starts into at most ``slots`` next slots of the start log; return them.
 
-        What a slot held before and may still be on its machine goes along.
+        The tasks that a slot held before stay in it if they may still be on their hosts.
         """
         taken: list[Run] = []
-        waiting = [run for run in self.starts.values() if self._planned(run)]
+        waiting = [run for run in self.starts.values() if self._is_planned(run)]
         for run in list(self.starts.values()):
-            if not self._planned(run):
+            if not self._is_planned(run):
                 del self.starts[run.id]
         room = records.usable_value_bytes(self.settings.value_bytes)
         passed = 0
         for number in range(records.START_SLOTS):
-            if not waiting or self._log_keys(txn) >= slots:
+            if not waiting or self._start_log_keys(txn) >= slots:
                 break
-            slot = (self._slot + number) % records.START_SLOTS
+            slot = (self._next_slot + number) % records.START_SLOTS
             passed = number + 1
             placed: records.TasksByHost = {}
             for host, tasks in self.view.start_log.get(slot, {}).items():
@@ -394,7 +456,9 @@
                     placed[host] = kept
             size = sum(records.starts_bytes(tasks) for tasks in placed.values())
             if size >= room:
-                continue  # full of what may still run; written under larger limits, perhaps
+                # Full of tasks that may still run. The slot may also have been written when the
+                # size limit was larger.
+                continue
             while waiting and size < room:
                 run = waiting.pop()
                 tasks = placed.setdefault(run.host, set())
@@ -403,11 +467,13 @@
                 size += records.starts_bytes(tasks)
                 taken.append(run)
             txn.puts[f"{records.STARTS}{slot}"] = records.encode_starts(placed)
-        # An unanswered write may still come: its slot is not used again before the next round.
-        self._slot = (self._slot + passed) % records.START_SLOTS
+        # A write without a response may still be applied, so its slots are not used again
+        # before the next round of the ring.
+        self._next_slot = (self._next_slot + passed) % records.START_SLOTS
         return taken
 
-    def _planned(self, run: Run) -> bool:
+    def _is_planned(self, run: Run) -> bool:
+        """Whether the attempt is still on its host in the ledger and its start was not sent."""
         host = self.ledger.hosts.get(run.host)
         return host is not None and host.runs.get(run.id) is run and run.unsent
 
@@ -417,34 +483,39 @@
         hosts: dict[HostId, None] = {}
         for run in runs:
             self.starts.pop(run.id, None)
-            if self._planned(run):
+            if self._is_planned(run):
                 run.start_logged = True
                 hosts[run.host] = None
         self.on_starts_logged(hosts)
 
-    # -- machines --------------------------------------------------------------------
+    # -- hosts -----------------------------------------------------------------------
 
     def _wanted_host(self, host_id: HostId) -> HostRecord | None:
+        """The record that the host should have; None if it should have none."""
         host = self.ledger.hosts.get(host_id)
         if host is None or host.fenced:
-            return None  # nothing is on it, and nothing is started before it is back on record
+            return None  # nothing is on it, and nothing is started before it is recorded again
         return HostRecord(host.id, host.type, host.zone, host.spot)
 
     def _host_changes(self, txn: Txn, limit: int, included: set[HostId]) -> list[HostId]:
-        """Machines that this transaction settles; those that it puts on record."""
+        """Add the pages of host records that have to change.
+
+        Returns the hosts that were handled, of which the caller keeps those dirty that differ
+        from the view after the write. Adds to ``included`` the hosts whose records are written.
+        """
         if not self.dirty_hosts:
             return []
         capacity = max(1, self.settings.value_bytes // records.HOST_BYTES)
         capacity = min(capacity, MAX_HOSTS_PER_PAGE)
         pages = {page: dict(rows) for page, rows in self.view.host_pages.items()}
-        where = {host: page for page, rows in pages.items() for host in rows}
+        page_by_host = {host: page for page, rows in pages.items() for host in rows}
         touched: dict[int, None] = {}
         taken: list[HostId] = []
         for host_id in self.dirty_hosts:
             wanted = self._wanted_host(host_id)
-            page = where.get(host_id)
-            in_doubt = page is not None and f"{records.HOSTS}{page}" in self._uncertain_keys
-            if wanted == self.view.hosts.get(host_id) and not in_doubt:
+            page = page_by_host.get(host_id)
+            uncertain = page is not None and f"{records.HOSTS}{page}" in self._uncertain_keys
+            if wanted == self.view.hosts.get(host_id) and not uncertain:
                 if wanted is not None:
                     self.ledger.hosts[host_id].recorded = True
                 taken.append(host_id)
@@ -460,7 +531,7 @@
                 rows.pop(host_id, None)
                 host = self.ledger.hosts.get(host_id)
                 if host is not None:
-                    host.recorded = False  # from here on: this write may come at any time
+                    host.recorded = False  # already, as the deletion may be applied any time
             else:
                 rows[host_id] = wanted
                 included.add(host_id)
@@ -468,9 +539,12 @@
             taken.append(host_id)
         for page in list(touched):
             if not self._split(pages, page, capacity, touched, limit - txn.size):
-                del touched[page]  # too large for a value, no space to split it: next time
+                # Too large for one value, and no space left to split it. Its hosts stay dirty
+                # and are tried again with the next transaction.
+                del touched[page]
                 included.difference_update(pages[page])
-        # A page that was split goes first: who reads one after the other loses no machine.
+        # A page that was split is written first: a reader that applies one page after the other
+        # removes the moved hosts before it adds them again, and so loses none.
         for page in sorted(
             touched, key=lambda p: len(self.view.host_pages.get(p, ())), reverse=True
         ):
@@ -489,10 +563,11 @@
         touched: dict[int, None],
         most: int,
     ) -> bool:
-        """Move what is too much for the page to others, in the same transaction.
+        """Move the hosts beyond the page's capacity to other pages of the same transaction.
 
-        Guards against a page that was written under larger limits: refused for good, it would
-        hold up every other record. False if it can be written neither split nor whole.
+        Guards against a page that was written when the size limit was larger: the state service
+        would reject it every time, and no other record could be written. Returns False if the
+        page can be written neither split, with at most ``most`` pages in all, nor as it is.
         """
         rows = pages[page]
         left = list(rows)[capacity:]
@@ -520,31 +595,34 @@
 
     # -- jobs ------------------------------------------------------------------------
 
-    def _finished(self, record: JobRecord) -> bool:
-        fresh = self.ledger.reported_done.get(record.id, set())
-        count = record.done_count() + sum(not record.is_task_done(index) for index in fresh)
+    def _is_finished(self, record: JobRecord) -> bool:
+        """Whether all tasks of the job are done, counting those that are only reported."""
+        reported = self.ledger.reported_done.get(record.id, set())
+        count = record.done_count() + sum(not record.is_task_done(index) for index in reported)
         return count >= record.tasks
 
     def _job_differs(self, job: JobId) -> bool:
+        """Whether a task of the job is reported as done and not recorded so."""
         record = self.view.active.get(job)
         return record is not None and any(
             not record.is_task_done(index) for index in self.ledger.reported_done.get(job, ())
         )
 
     def _job_change(self, txn: Txn, job: JobId, space: int) -> bool:
-        """Add the job's writes; false if there is no space for them."""
+        """Add the job's writes, at most ``space`` of them; return False if it is full."""
         record = self.view.active.get(job)
         if record is None:
             self.ledger.reported_done.pop(job, None)
             return True
-        fresh = {
+        unrecorded = {
             i for i in self.ledger.reported_done.get(job, ()) if not record.is_task_done(i)
         }
-        if not fresh:
+        if not unrecorded:
             return True
-        # The job's version guards against calling a job done that its user has cancelled.
+        # The guard on the job's key keeps a job that its user has cancelled from being recorded
+        # as done.
         key = records.job_key(job)
-        if self._finished(record):
+        if self._is_finished(record):
             if record.batch_key is None:
                 txn.guards[key] = record.version
                 txn.puts[key] = records.encode_done(record, WallTime(round(self.wall(), 3)))
@@ -552,10 +630,10 @@
                 return False
             for page in list(record.completion_bitmaps)[: max(0, space - 1)]:
                 txn.deletes.add(records.completion_bitmap_key(job, page))
-            log.info("job %s: all %d tasks done", job, record.tasks)
+            log.info("job %s: all %d tasks done, recording its completion", job, record.tasks)
             return True
         pages: dict[int, int] = {}
-        for index in fresh:
+        for index in unrecorded:
             page, bit = divmod(index, records.TASKS_PER_BITMAP_PAGE)
             pages[page] = pages.get(page, record.completion_bitmaps.get(page, 0)) | 1 << bit
         for page, bits in list(pages.items())[:space]:
