--- a/dunehold/bookkeeping/__init__.py
+++ b/dunehold/bookkeeping/__init__.py
@@ -1,1 +1,1 @@
-"""What is durable (the store) and what may be on which machine (the ledger)."""
+"""Durable records in the state service, and the leader's account of hosts and attempts."""
--- a/dunehold/bookkeeping/batches/__init__.py
+++ b/dunehold/bookkeeping/batches/__init__.py
@@ -1,1 +1,1 @@
-"""Many jobs to a key: submissions and ends that are written together (docs/packs.md)."""
+"""Batches: submissions or completions of many jobs under one key (docs/packs.md)."""
--- a/dunehold/bookkeeping/dependencies.py
+++ b/dunehold/bookkeeping/dependencies.py
@@ -1,9 +1,9 @@
-"""Which jobs wait for which: an index over what is durable, the same at every node.
+"""Index of the dependencies between jobs, derived from durable records at every node alike.
 
-Nothing here is written anywhere. That a job waits, is free or is cancelled along with one that
-it needs follows from its description and from the ends of the others, and an end is never taken
-back. So one durable end cancels whatever comes after it, however many jobs that is, at every
-node that sees it, and no burst of writes follows. Only jobs that wait take room here.
+The index itself is not durable. Whether a job waits, may start or is cancelled together with a
+dependency follows from its spec and from the ends of the other jobs, and the end of a job is
+never undone. One durable cancellation therefore cancels all dependents, however many, at every
+node that sees it, without a burst of writes. Only jobs that wait take memory here.
 """
 
 from __future__ import annotations
@@ -16,50 +16,59 @@
 
 @dataclass(slots=True)
 class DependencyIndex:
-    pending: dict[JobId, set[JobId]] = field(default_factory=dict)  # for whom, not done yet
-    dependents: dict[JobId, dict[JobId, None]] = field(default_factory=dict)  # who needs it
-    no_longer_needed: list[JobId] = field(default_factory=list)  # that somebody needs no more
+    """The jobs that wait for other jobs.
+
+    Attributes:
+        pending: the unfinished dependencies of each job that waits.
+        dependents: the jobs that wait for each job, as an ordered set.
+        no_longer_needed: jobs that a dependent no longer waits for, because that dependent is
+            over. The view reports them as changed and clears the list.
+    """
+
+    pending: dict[JobId, set[JobId]] = field(default_factory=dict)
+    dependents: dict[JobId, dict[JobId, None]] = field(default_factory=dict)
+    no_longer_needed: list[JobId] = field(default_factory=list)
 
     def add(self, job: JobId, needed: Iterable[JobId]) -> None:
-        """The job waits for these; for none of them, it does not wait."""
-        left = set(needed)
-        if left:
-            self.pending[job] = left
-            for need in sorted(left):
+        """Add a job with its unfinished dependencies; without any it does not wait."""
+        unfinished = set(needed)
+        if unfinished:
+            self.pending[job] = unfinished
+            for need in sorted(unfinished):
                 self.dependents.setdefault(need, {})[job] = None
 
     def complete(self, job: JobId) -> list[JobId]:
-        """Who waits for nobody any more, now that this job is done."""
-        free = []
-        for follower in self.dependents.pop(job, ()):
-            left = self.pending[follower]
-            left.discard(job)
-            if not left:
-                del self.pending[follower]
-                free.append(follower)
-        return free
+        """Note that the job is done; return the jobs that wait for nothing any more."""
+        ready = []
+        for dependent in self.dependents.pop(job, ()):
+            unfinished = self.pending[dependent]
+            unfinished.discard(job)
+            if not unfinished:
+                del self.pending[dependent]
+                ready.append(dependent)
+        return ready
 
     def cancel(self, job: JobId) -> list[JobId]:
-        """All that need this job, directly or through others; they are forgotten here.
+        """Remove and return all jobs that depend on this one, directly or through others.
 
-        Guards against chains of any depth: no call of itself for each link.
+        The search is iterative, since a chain of dependencies can be too long for recursion.
         """
         found: dict[JobId, None] = {}
         stack = [job]
         while stack:
-            for follower in self.dependents.pop(stack.pop(), ()):
-                if follower not in found:
-                    found[follower] = None
-                    self.forget(follower)
-                    stack.append(follower)
+            for dependent in self.dependents.pop(stack.pop(), ()):
+                if dependent not in found:
+                    found[dependent] = None
+                    self.forget(dependent)
+                    stack.append(dependent)
         return list(found)
 
     def forget(self, job: JobId) -> None:
-        """It waits no more: it is over."""
+        """Remove a job that is over from the jobs that wait."""
         for need in self.pending.pop(job, ()):
-            followers = self.dependents.get(need)
-            if followers is not None:
+            waiting = self.dependents.get(need)
+            if waiting is not None:
                 self.no_longer_needed.append(need)
-                followers.pop(job, None)
-                if not followers:
+                waiting.pop(job, None)
+                if not waiting:
                     del self.dependents[need]
--- a/dunehold/bookkeeping/disruptions.py
+++ b/dunehold/bookkeeping/disruptions.py
@@ -1,9 +1,10 @@
-"""What was stopped or moved lately, whose it was, and what that leaves of each budget.
+"""Recent disruptions of running work, and what they leave of each team's disruption budget.
 
-A disruption counts from the stop until its task runs again, and for its team's window at least.
-What is done by choice is written down before it is commanded, so that a next leader knows of
-it: it takes all that it finds for undone until a window after its own beginning (*unknown means
-spent*). What happens to the fleet counts as well, but is refused by nobody.
+A disruption counts from the stop of a task until the task runs again, and at least for its
+team's window. Voluntary disruptions are recorded before the stop is commanded, so that the next
+leader knows of them. That leader doesn't know which tasks run again, so it counts all recorded
+disruptions for at least one window from the start of its term. Involuntary disruptions, such as
+the loss of a host, count as well, but are never refused.
 """
 
 from __future__ import annotations
@@ -17,12 +18,12 @@
 from dunehold.protocol.codec import BadMessage
 from dunehold.types import EPSILON, UNBOUNDED, JobId, MonotonicTime, TaskId, Team, WallTime
 
-FORMAT = 1
+FORMAT = 1  # of the durable record
 
 
 @dataclass(frozen=True, slots=True)
 class Disruption:
-    """Work that is to be stopped: so many tasks of a job; a service's are replicas."""
+    """A stop of tasks of one job; the tasks of a service are its replicas."""
 
     team: Team
     job: JobId
@@ -33,146 +34,167 @@
 
 @dataclass(frozen=True, slots=True)
 class TeamTotals:
-    """What a team has on machines, what its budget's shares are shares of."""
+    """What a team has on hosts, of which the shares in its budget are taken."""
 
     tasks: int = 0
     cpus: float = 0.0
 
 
 @dataclass(slots=True)
-class _Row:
-    hit: Disruption
-    until: MonotonicTime  # it counts till then at least
-    task: TaskId | None  # whose return ends it; None: nobody knows which
-    choice: bool
+class _CountedDisruption:
+    """A disruption that counts against a budget."""
+
+    disruption: Disruption
+    until: MonotonicTime  # it counts at least until then
+    task: TaskId | None  # it counts until this task runs again; None if the task is not known
+    choice: bool  # whether it is voluntary
 
 
 @dataclass(slots=True)
 class DisruptionTracker:
+    """Counts the disruptions of one leader's term against the teams' budgets."""
+
     budgets: DisruptionBudgets
-    _rows: list[_Row] = field(default_factory=list)
-    # Stopped, and not seen to run since, by job: what ends takes all of it along.
-    _open: dict[JobId, set[TaskId]] = field(default_factory=dict)
-    _spent: dict[Team, tuple[int, float]] = field(default_factory=dict)  # tasks, cpus
-    _replicas: Counter[JobId] = field(default_factory=Counter)
+    _counted: list[_CountedDisruption] = field(default_factory=list)
+    # Tasks that were stopped and have not run since. They are kept by job, because all tasks of
+    # a job are removed when it ends.
+    _interrupted: dict[JobId, set[TaskId]] = field(default_factory=dict)
+    _used_by_team: dict[Team, tuple[int, float]] = field(default_factory=dict)  # tasks, CPUs
+    _replicas_by_job: Counter[JobId] = field(default_factory=Counter)  # disrupted, by service
 
-    # -- asking ----------------------------------------------------------------------------
+    # -- queries ---------------------------------------------------------------------------
 
     def refusal(
-        self, hit: Disruption, whole: TeamTotals, replicas: int = 0, up: int = 0
+        self, disruption: Disruption, totals: TeamTotals, replicas: int = 0, up: int = 0
     ) -> str | None:
-        """Why this may not be stopped by choice now, or None.
+        """Return why this voluntary disruption is not allowed now, or None if it is.
 
-        ``replicas`` and ``up`` are a service's wanted ones and those up, the ones to be
-        stopped included.
+        For a service, ``replicas`` is the number wanted, and ``up`` the number running before
+        the stop.
         """
-        budget = self.budgets.of(hit.team)
-        tasks, cpus = self.budget_used(hit.team)
-        if hit.service:
+        budget = self.budgets.of(disruption.team)
+        tasks, cpus = self.budget_used(disruption.team)
+        if disruption.service:
             least = budget.least_up.of(replicas)
-            if up - hit.tasks < least - EPSILON:
-                return f"{hit.job}: at least {budget.least_up} of its replicas stay up"
+            if up - disruption.tasks < least - EPSILON:
+                return f"{disruption.job}: at least {budget.least_up} of its replicas stay up"
             most = budget.replicas.of(replicas)
-            if self._replicas[hit.job] + hit.tasks > most + EPSILON:
-                return f"{hit.job}: {budget.replicas} of its replicas at once"
+            if self._replicas_by_job[disruption.job] + disruption.tasks > most + EPSILON:
+                return f"{disruption.job}: {budget.replicas} of its replicas at once"
         else:
-            most = budget.tasks.of(whole.tasks + tasks)
-            if tasks + hit.tasks > most + EPSILON:
-                return f"team {hit.team}: {budget.tasks} of its tasks at once"
-        most = budget.cpus.of(whole.cpus + cpus)
-        if cpus + hit.cpus > most + EPSILON:
-            return f"team {hit.team}: {budget.cpus} of its CPUs at once"
+            most = budget.tasks.of(totals.tasks + tasks)
+            if tasks + disruption.tasks > most + EPSILON:
+                return f"team {disruption.team}: {budget.tasks} of its tasks at once"
+        most = budget.cpus.of(totals.cpus + cpus)
+        if cpus + disruption.cpus > most + EPSILON:
+            return f"team {disruption.team}: {budget.cpus} of its CPUs at once"
         return None
 
     def budget_used(self, team: Team) -> tuple[int, float]:
-        """Tasks and CPUs of a team that count now."""
-        return self._spent.get(team, (0, 0.0))
+        """Disrupted tasks and CPUs of the team that count now; replicas count as CPUs only."""
+        return self._used_by_team.get(team, (0, 0.0))
 
-    def exhausted(self, team: Team, whole: TeamTotals) -> bool:
-        """Not even the smallest task of it may be stopped."""
+    def exhausted(self, team: Team, totals: TeamTotals) -> bool:
+        """Whether the budget does not even allow the team's smallest task to be stopped."""
         budget = self.budgets.of(team)
         tasks, cpus = self.budget_used(team)
         return (
-            tasks + 1 > budget.tasks.of(whole.tasks + tasks) + EPSILON
-            or cpus >= budget.cpus.of(whole.cpus + cpus) - EPSILON
+            tasks + 1 > budget.tasks.of(totals.tasks + tasks) + EPSILON
+            or cpus >= budget.cpus.of(totals.cpus + cpus) - EPSILON
         )
 
-    # -- counting --------------------------------------------------------------------------
+    # -- accounting ------------------------------------------------------------------------
+
+    def add(
+        self, disruption: Disruption, task: TaskId, now: MonotonicTime, choice: bool
+    ) -> None:
+        """Count one task that is stopped by ``choice``, or was lost.
 
-    def add(self, hit: Disruption, task: TaskId, now: MonotonicTime, choice: bool) -> None:
-        """One task is stopped, or was lost. One that is disrupted already counts once."""
-        if self._is_open(task):
+        A task that is disrupted already is not counted again.
+        """
+        if self._is_interrupted(task):
             return
-        self._open.setdefault(task.job, set()).add(task)
-        window = self.budgets.of(hit.team).window_s
-        self._add(_Row(hit, MonotonicTime(now + window), task, choice))
+        self._interrupted.setdefault(task.job, set()).add(task)
+        window = self.budgets.of(disruption.team).window_s
+        self._count(_CountedDisruption(disruption, MonotonicTime(now + window), task, choice))
 
     def block(self, teams: Iterable[Team], now: MonotonicTime) -> None:
-        """Nothing of theirs by choice for a window: what was spent is not known."""
+        """Allow no voluntary disruption of these teams for one window.
+
+        For use when the recorded disruptions can't be decoded: what is left of the budgets is
+        then unknown.
+        """
         for team in teams:
             until = MonotonicTime(now + self.budgets.of(team).window_s)
             for service in (False, True):
-                hit = Disruption(team, JobId(""), UNBOUNDED, float(UNBOUNDED), service)
-                self._add(_Row(hit, until, None, False))
+                disruption = Disruption(team, JobId(""), UNBOUNDED, float(UNBOUNDED), service)
+                self._count(_CountedDisruption(disruption, until, None, False))
 
     def task_restored(self, task: TaskId) -> None:
-        """It runs again, or is not wanted any more; its row goes once its window is over."""
-        left = self._open.get(task.job)
-        if left is not None:
-            left.discard(task)
-            if not left:
-                del self._open[task.job]
+        """Note that the task runs again, or does not have to.
+
+        Its disruption still counts until the window is over.
+        """
+        tasks = self._interrupted.get(task.job)
+        if tasks is not None:
+            tasks.discard(task)
+            if not tasks:
+                del self._interrupted[task.job]
 
     def job_ended(self, job: JobId) -> None:
-        """The job has ended: nothing of it is missing."""
-        self._open.pop(job, None)
+        """Note that the job has ended, so that none of its tasks has to run again."""
+        self._interrupted.pop(job, None)
 
-    def _is_open(self, task: TaskId) -> bool:
-        return task in self._open.get(task.job, ())
+    def _is_interrupted(self, task: TaskId) -> bool:
+        return task in self._interrupted.get(task.job, ())
 
     def expire(self, now: MonotonicTime) -> None:
-        """Let go of what counts no more."""
+        """Remove the disruptions that no longer count."""
         kept = [
             row
-            for row in self._rows
-            if row.until > now or (row.task is not None and self._is_open(row.task))
+            for row in self._counted
+            if row.until > now or (row.task is not None and self._is_interrupted(row.task))
         ]
-        if len(kept) != len(self._rows):
-            self._rows = []
-            self._spent.clear()
-            self._replicas.clear()
+        if len(kept) != len(self._counted):
+            self._counted = []
+            self._used_by_team.clear()
+            self._replicas_by_job.clear()
             for row in kept:
-                self._add(row)
-
-    def _add(self, row: _Row) -> None:
-        hit = row.hit
-        self._rows.append(row)
-        tasks, cpus = self.budget_used(hit.team)
-        self._spent[hit.team] = (
-            tasks + (0 if hit.service else hit.tasks),
-            cpus + hit.cpus,
+                self._count(row)
+
+    def _count(self, row: _CountedDisruption) -> None:
+        disruption = row.disruption
+        self._counted.append(row)
+        tasks, cpus = self.budget_used(disruption.team)
+        self._used_by_team[disruption.team] = (
+            tasks + (0 if disruption.service else disruption.tasks),
+            cpus + disruption.cpus,
         )
-        if hit.service:
-            self._replicas[hit.job] += hit.tasks
+        if disruption.service:
+            self._replicas_by_job[disruption.job] += disruption.tasks
 
-    # -- the durable record ------------------------------------------------------------------
+    # -- durable record ----------------------------------------------------------------------
 
     def encode(
         self, more: Iterable[Disruption], now: MonotonicTime, wall: WallTime
     ) -> dict[str, Any]:
-        """What was done by choice and still counts, with what is about to be.
+        """Encode the voluntary disruptions that still count, and those about to take place.
 
-        By team and, of services, by job: it does not grow with the number of tasks.
+        They are summed by team, and those of services by job, so that the size of the record
+        does not grow with the number of tasks.
         """
         sums: dict[tuple[Team, JobId | None], list[float]] = {}
-        for hit, until in [
-            *((row.hit, row.until) for row in self._rows if row.choice),
-            *((hit, now + self.budgets.of(hit.team).window_s) for hit in more),
+        for disruption, until in [
+            *((row.disruption, row.until) for row in self._counted if row.choice),
+            *(
+                (disruption, now + self.budgets.of(disruption.team).window_s)
+                for disruption in more
+            ),
         ]:
-            key = hit.team, hit.job if hit.service else None
+            key = disruption.team, disruption.job if disruption.service else None
             total = sums.setdefault(key, [0, 0.0, 0.0])
-            total[0] += hit.tasks
-            total[1] += hit.cpus
+            total[0] += disruption.tasks
+            total[1] += disruption.cpus
             total[2] = max(total[2], wall + until - now)
         rows = [
             [team, job, int(tasks), round(cpus, 3), round(until, 1)]
@@ -181,25 +203,35 @@
         return {"f": FORMAT, "rows": rows}
 
     def restore(self, value: Any, now: MonotonicTime, wall: WallTime) -> None:
-        """Begin with what the leader before wrote down: all of it spent, for a window from now
-        at least, since which of its tasks run again is not known."""
-        for hit, until in decode_disruptions(value):
-            left = max(until - wall, float(self.budgets.of(hit.team).window_s))
-            self._add(_Row(hit, MonotonicTime(now + left), None, True))
+        """Count the disruptions that the previous leader recorded.
+
+        Each counts for at least one window from now, since it is not known which of the tasks
+        run again. Raises BadMessage, ValueError or TypeError if the record is malformed.
+        """
+        for disruption, until in decode_disruptions(value):
+            left_s = max(until - wall, float(self.budgets.of(disruption.team).window_s))
+            self._count(_CountedDisruption(disruption, MonotonicTime(now + left_s), None, True))
 
 
 def decode_disruptions(value: Any) -> list[tuple[Disruption, WallTime]]:
-    """The durable record's rows; BadMessage for one of a format that is not known."""
+    """Decode the durable record into disruptions and the time until which each counts.
+
+    Raises BadMessage for an unknown format or a malformed row.
+    """
     if value is None:
         return []
     if not isinstance(value, dict) or value.get("f") != FORMAT:
-        raise BadMessage("disruptions of a format that this program does not know")
+        raise BadMessage("disruptions record has an unknown format")
     found = []
     rows = value.get("rows")
     for row in rows if isinstance(rows, list) else ():
         if not isinstance(row, list) or len(row) != 5:
-            raise BadMessage("disruptions record")
+            raise BadMessage(
+                "disruptions record: a row must be [team, job, tasks, cpus, until]"
+            )
         team, job, tasks, cpus, until = row
-        hit = Disruption(Team(team), JobId(job or ""), int(tasks), float(cpus), job is not None)
-        found.append((hit, WallTime(float(until))))
+        disruption = Disruption(
+            Team(team), JobId(job or ""), int(tasks), float(cpus), job is not None
+        )
+        found.append((disruption, WallTime(float(until))))
     return found
--- a/dunehold/bookkeeping/ledger.py
+++ b/dunehold/bookkeeping/ledger.py
@@ -50,7 +50,7 @@
 ATTEMPT_BITS = 32
 # Two clocks may each be off by up to 0.05%; the factor allows for more than both together.
 WORKER_LEASE_DRIFT_FACTOR = 1.002
-LEASE_MARGIN_S = 0.5
+LEASE_MARGIN_S = 0.5  # in addition to the drift, before a worker lease counts as expired
 # After a longer silence than this fraction of a worker lease, the time at which a report shows
 # a change says little about when the change took place.
 TIMELY_LEASE_FRACTION = 1 / 3
@@ -209,6 +209,7 @@
         return lost
 
     def _lease_expired(self, host: Host, now: MonotonicTime) -> bool:
+        """Whether the worker lease has expired, whoever renewed it last."""
         lease_s = self.lease_s * WORKER_LEASE_DRIFT_FACTOR + LEASE_MARGIN_S
         relayed = self.relayed_until.get(host.zone)
         if relayed is not None and now <= relayed + lease_s:
--- a/dunehold/bookkeeping/orders.py
+++ b/dunehold/bookkeeping/orders.py
@@ -1,10 +1,12 @@
-"""Orders of operators as they are durable: what is asked for, and how far the leader is.
+"""Durable form of operators' orders: the request, and the leader's progress with it.
 
-An order is one key, written by whichever node took it, guarded by the serial that its operator
-saw: every change of any order raises the serial, so of two that contradict each other one is
-refused. How far it is stands under a key of its own, which only the leader writes. Neither
-lists the machines: names come in the order in which machines were created, so a name bounds
-what is meant, and only those in hand are named. So the cost does not grow with the fleet.
+An order has one key. The node that accepted it writes it, guarded by the serial that the
+operator saw. Every change of any order raises the serial, so that of two contradicting orders
+one is rejected. The progress has a key of its own, which only the leader writes.
+
+Neither lists all hosts that the order applies to. Host names are in the order of creation, so
+one name is the upper bound of those hosts, and only the hosts being drained are listed. The
+size of the records therefore does not grow with the fleet.
 """
 
 from __future__ import annotations
@@ -27,55 +29,73 @@
 
 
 class Stage(StrEnum):
-    """How far the leader is with an order."""
+    """How far the leader has proceeded with an order."""
 
     NEW = "new"
-    RENTING = "room"  # fresh machines are rented before any is taken
-    EMPTYING = "empty"  # the machines in hand run out of work
-    BAKE = "bake"  # the fresh ones show how they do
-    DRAINING = "draining"  # a drain has no steps
+    RENTING = "room"  # replacements are rented before hosts are taken out of service
+    EMPTYING = "empty"  # the hosts of the wave are being drained
+    BAKE = "bake"  # the replacements are observed before the next wave
+    DRAINING = "draining"  # the only stage of a drain that is under way
     DONE = "done"
-    HALTED = "halted"  # by itself, with a reason
+    HALTED = "halted"  # stopped by the leader, for the reason in ``halt_reason``
     ABORTED = "aborted"
 
     @property
     def final(self) -> bool:
+        """Whether the leader does nothing more for the order."""
         return self in (Stage.DONE, Stage.HALTED, Stage.ABORTED)
 
 
-HostKind = tuple[TypeName, Zone, bool]  # a kind of machine: type, zone, spot or not
+HostKind = tuple[TypeName, Zone, bool]  # machine type, zone, whether it is a spot machine
 
 
 @dataclass(frozen=True, slots=True)
 class OrderProgress:
-    """The leader's part: ``mark`` is the last machine that is meant, by name."""
+    """The leader's progress with an order.
+
+    Attributes:
+        last_host: by name, the newest host that the order can apply to, as determined when the
+            leader took up the order; None before that. It does not bound an order that also
+            applies to hosts created later.
+        host_kind: kind of all hosts of the present wave.
+        wave: number of the present wave, from 1.
+        wave_size: number of hosts of the present wave.
+        baseline_hosts: number of working replacements of that kind when the wave began.
+        draining_hosts: hosts of the present wave that are being drained; no task is started
+            on them.
+        hosts_done: number of hosts that have been taken out of service and emptied.
+        stage_since: when the stage began.
+        halt_reason: why the order was halted.
+    """
 
     stage: Stage = Stage.NEW
     last_host: HostId | None = None
-    host_kind: HostKind | None = None  # the machines of this wave are all of one kind
+    host_kind: HostKind | None = None
     wave: int = 0
-    wave_size: int = 0  # machines of this wave
-    baseline_hosts: int = 0  # fresh machines there were before it
-    draining_hosts: tuple[HostId, ...] = ()  # machines in hand: they get nothing new
-    hosts_done: int = 0  # machines that are out of service
-    stage_since: WallTime = WallTime(0.0)  # of the stage
-    halt_reason: str = ""  # of a halt
+    wave_size: int = 0
+    baseline_hosts: int = 0
+    draining_hosts: tuple[HostId, ...] = ()
+    hosts_done: int = 0
+    stage_since: WallTime = WallTime(0.0)
+    halt_reason: str = ""
 
 
-# -- the state service's keys -------------------------------------------------------------
+# -- encoding -----------------------------------------------------------------------------
 
 
 def encode_order(order: Order) -> dict[str, Any]:
+    """Encode the value of an order's key."""
     fixed = {"f": FORMAT, "made": order.created_at, "wish": order.desired_state.value}
     return encode_order_fields(order) | fixed
 
 
 def decode_order(order: OrderId, value: Any, version: Revision) -> Order:
-    """BadMessage for what is no order, or of a newer format than this program knows."""
-    return replace(decode_order_fields(order, _known(value, "order")), version=version)
+    """Decode an order; raises BadMessage if it is malformed or of an unknown format."""
+    return replace(decode_order_fields(order, _check_format(value, "order")), version=version)
 
 
 def encode_progress(progress: OrderProgress) -> dict[str, Any]:
+    """Encode the value of the key of an order's progress."""
     return {
         "f": FORMAT,
         "stage": progress.stage.value,
@@ -90,21 +110,26 @@
 
 
 def decode_progress(value: Any) -> OrderProgress:
-    row = _known(value, "progress")
+    """Decode an order's progress.
+
+    Raises BadMessage if it is malformed or of an unknown format, ValueError for an unknown
+    stage.
+    """
+    row = _check_format(value, "progress")
     wave = row.get("wave")
     if not isinstance(wave, list) or len(wave) != 3:
-        raise BadMessage("wave must be a list of three")
-    number, size, base = (int(each) for each in wave)
-    mark, of = codec.opt_text(row, "mark"), row.get("of")
-    if of is not None and (not isinstance(of, list) or len(of) != 3):
-        raise BadMessage("of must be a list of three")
+        raise BadMessage("wave must be a list [number, size, baseline hosts]")
+    wave_number, wave_size, baseline_hosts = (int(each) for each in wave)
+    last_host, kind = codec.opt_text(row, "mark"), row.get("of")
+    if kind is not None and (not isinstance(kind, list) or len(kind) != 3):
+        raise BadMessage("of must be a list [type, zone, spot]")
     return OrderProgress(
         Stage(codec.text(row, "stage")),
-        None if mark is None else HostId(mark),
-        None if of is None else (TypeName(of[0]), Zone(of[1]), bool(of[2])),
-        number,
-        size,
-        base,
+        None if last_host is None else HostId(last_host),
+        None if kind is None else (TypeName(kind[0]), Zone(kind[1]), bool(kind[2])),
+        wave_number,
+        wave_size,
+        baseline_hosts,
         tuple(HostId(name) for name in decode_texts(row, "hands")),
         codec.count(row, "done"),
         WallTime(codec.amount(row, "since")),
@@ -112,9 +137,10 @@
     )
 
 
-def _known(value: Any, name: str) -> dict[str, Any]:
+def _check_format(value: Any, name: str) -> dict[str, Any]:
+    """Return the value as an object of the known format, or raise BadMessage."""
     if not isinstance(value, dict):
-        raise BadMessage(f"{name} record")
+        raise BadMessage(f"{name} record must be an object")
     if value.get("f") != FORMAT:
-        raise BadMessage(f"{name} of format {value.get('f')}, this program knows {FORMAT}")
+        raise BadMessage(f"{name} record has format {value.get('f')}, expected {FORMAT}")
     return value
--- a/dunehold/bookkeeping/unreconciled.py
+++ b/dunehold/bookkeeping/unreconciled.py
@@ -1,12 +1,12 @@
-"""What machines that have not answered a new leader may hold, by the durable log of starts.
+"""Tasks that may be on hosts that have not answered a new leader, by the durable start log.
 
-Every start is in the log before it is commanded, in a transaction that only the leader's own
-key lets through. So what the log does not place on a silent machine is not on one, whatever
-the leader before has done; and what it does place there counts against the limit of its own
-team, and of no other. Where the log names a task that no record describes any more, the whole
-machine counts against every team.
+Every start is in the log before it is commanded, written in a transaction that is guarded by
+the leader key. A task that the log does not place on a silent host is therefore not on one,
+whatever the previous leader did. A task that the log does place there counts against the limit
+of its own team only. If the log names a task that no record describes any more, the whole
+capacity of the host counts against every team.
 
-Amounts are counted by task and kind of need, so that sums neither drift nor fall below zero.
+Usage is kept as counts of equal resource needs, so that sums neither drift nor become negative.
 """
 
 from __future__ import annotations
@@ -21,62 +21,68 @@
 
 @dataclass(slots=True)
 class UnreconciledHosts:
-    """Machines on record that have not answered, and what may be on each.
+    """Hosts on record that have not answered, by capacity, and the tasks that may be on them.
 
-    A machine leaves once, when it answers, is fenced or deleted, so that no start has to look
-    through the fleet.
+    A host is removed once, when it answers, is fenced or is deleted. The indexes below spare
+    each start a search through all hosts.
     """
 
     hosts: dict[HostId, Resources] = field(default_factory=dict)
-    _places: dict[TaskId, set[HostId]] = field(default_factory=dict)
-    _tasks: dict[HostId, set[TaskId]] = field(default_factory=dict)
-    _by_job: dict[JobId, int] = field(default_factory=dict)  # such tasks of each job
+    _hosts_by_task: dict[TaskId, set[HostId]] = field(default_factory=dict)
+    _tasks_by_host: dict[HostId, set[TaskId]] = field(default_factory=dict)
+    _task_counts: dict[JobId, int] = field(default_factory=dict)  # tasks of each job
     _needs: dict[TaskId, tuple[Team, Resources]] = field(default_factory=dict)
-    _by_team: dict[Team, Counter[Resources]] = field(default_factory=dict)
-    _blind: set[HostId] = field(default_factory=set)  # with tasks that nothing describes
-    _sums: dict[Team, Resources] = field(default_factory=dict)  # as counted last
+    # Number of tasks by resource need.
+    _needs_by_team: dict[Team, Counter[Resources]] = field(default_factory=dict)
+    # Hosts that may hold a task that no record describes.
+    _hosts_with_unknown_tasks: set[HostId] = field(default_factory=set)
+    _max_usage: dict[Team, Resources] = field(default_factory=dict)  # cache of max_usage()
 
-    def add(self, host: HostId, room: Resources) -> None:
-        self.hosts[host] = room
+    def add(self, host: HostId, capacity: Resources) -> None:
+        """Add a host with its capacity."""
+        self.hosts[host] = capacity
 
     def add_logged_tasks(self, placed: TasksByHost, jobs: Mapping[JobId, JobRecord]) -> None:
-        """Take up a part of the log; what it says of other machines is over."""
+        """Add the tasks of one slot of the start log.
+
+        Entries of hosts that are not in ``hosts`` are out of date and are ignored.
+        """
         for host, tasks in placed.items():
             if host not in self.hosts:
                 continue
-            on_it = self._tasks.setdefault(host, set())
-            for task in tasks - on_it:
-                on_it.add(task)
-                if task not in self._places:
+            known = self._tasks_by_host.setdefault(host, set())
+            for task in tasks - known:
+                known.add(task)
+                if task not in self._hosts_by_task:
                     self._count(task, jobs.get(task.job))
-                self._places.setdefault(task, set()).add(host)
-                if task not in self._needs and not _over(jobs.get(task.job)):
-                    self._blind.add(host)
-                    self._sums.clear()
+                self._hosts_by_task.setdefault(task, set()).add(host)
+                if task not in self._needs and not _is_done(jobs.get(task.job)):
+                    self._hosts_with_unknown_tasks.add(host)
+                    self._max_usage.clear()
 
     def _count(self, task: TaskId, record: JobRecord | None) -> None:
-        self._by_job[task.job] = self._by_job.get(task.job, 0) + 1
+        self._task_counts[task.job] = self._task_counts.get(task.job, 0) + 1
         spec = record.spec if record is not None else None
         if spec is not None:
-            # On one machine at most, however many the log names.
+            # Counted once: the task is on one host at most, however many the log names.
             self._needs[task] = spec.team, spec.need
-            self._by_team.setdefault(spec.team, Counter())[spec.need] += 1
-            self._sums.pop(spec.team, None)
+            self._needs_by_team.setdefault(spec.team, Counter())[spec.need] += 1
+            self._max_usage.pop(spec.team, None)
 
     def mark_reconciled(self, host: HostId) -> list[TaskId]:
-        """Nothing is on it unseen any more; the tasks that may be nowhere unseen now."""
+        """Remove a host; return the tasks that can't be on any unreconciled host any more."""
         if self.hosts.pop(host, None) is None:
             return []
-        if host in self._blind:
-            self._blind.remove(host)
-            self._sums.clear()
+        if host in self._hosts_with_unknown_tasks:
+            self._hosts_with_unknown_tasks.remove(host)
+            self._max_usage.clear()
         released = []
-        for task in sorted(self._tasks.pop(host, ())):
-            places = self._places[task]
-            places.discard(host)
-            if not places:
-                del self._places[task]
-                self._by_job[task.job] -= 1
+        for task in sorted(self._tasks_by_host.pop(host, ())):
+            remaining = self._hosts_by_task[task]
+            remaining.discard(host)
+            if not remaining:
+                del self._hosts_by_task[task]
+                self._task_counts[task.job] -= 1
                 released.append(task)
                 self._uncount(task)
         return released
@@ -85,31 +91,35 @@
         counted = self._needs.pop(task, None)
         if counted is not None:
             team, need = counted
-            self._by_team[team][need] -= 1
-            if not self._by_team[team][need]:
-                del self._by_team[team][need]
-            self._sums.pop(team, None)
+            self._needs_by_team[team][need] -= 1
+            if not self._needs_by_team[team][need]:
+                del self._needs_by_team[team][need]
+            self._max_usage.pop(team, None)
 
     def may_run(self, task: TaskId) -> bool:
-        return task in self._places
+        """Whether the task may be on a host that has not answered."""
+        return task in self._hosts_by_task
 
     def task_count(self, job: JobId) -> int:
-        """How many of its tasks may be on machines that have not answered."""
-        return self._by_job.get(job, 0)
+        """Number of the job's tasks that may be on hosts that have not answered."""
+        return self._task_counts.get(job, 0)
 
     def max_usage(self, team: Team) -> Resources:
-        """The most that the team's tasks may use there."""
-        found = self._sums.get(team)
+        """The most that the team's tasks may use on hosts that have not answered."""
+        found = self._max_usage.get(team)
         if found is None:
             found = NO_RESOURCES
-            for host in self._blind:
+            for host in self._hosts_with_unknown_tasks:
                 found = found.plus(self.hosts[host])
-            for need, number in self._by_team.get(team, {}).items():
+            for need, number in self._needs_by_team.get(team, {}).items():
                 found = found.plus(need.times(number))
-            self._sums[team] = found
+            self._max_usage[team] = found
         return found
 
 
-def _over(record: JobRecord | None) -> bool:
-    """Done: each of its tasks has completed, and a task is on one machine at most."""
+def _is_done(record: JobRecord | None) -> bool:
+    """Whether the job is done, so that none of its tasks can still be on a host.
+
+    Each task has then completed, and a task is on one host at most.
+    """
     return record is not None and record.phase is JobPhase.DONE
--- a/dunehold/coordination/persistence/__init__.py
+++ b/dunehold/coordination/persistence/__init__.py
@@ -1,1 +1,1 @@
-"""Between a node and the state service: its view kept current, its records written."""
+"""Synchronization with the state service: keeping the view current and writing records."""
--- a/dunehold/coordination/persistence/completions.py
+++ b/dunehold/coordination/persistence/completions.py
@@ -1,4 +1,4 @@
-"""Ends of jobs that came in packs, many to a key; and packs that are not needed any more."""
+"""Batched completions of jobs that were accepted in batches, and deletion of obsolete keys."""
 
 from __future__ import annotations
 
@@ -14,50 +14,55 @@
 from dunehold.settings import Settings
 from dunehold.types import Revision, Token, WallTime
 
-BATCHING_IDLE_S = 30.0  # without a new pack: submissions get keys of their own again
+# After this time without a new batch, each submission gets a key of its own again.
+BATCHING_IDLE_S = 30.0
 
 
 @dataclass(slots=True)
 class CompletionWriter:
-    """Packs of ends of one term, named by its token: no other term uses these names."""
+    """Writes the batches of completions of one term.
+
+    Their keys contain the leader's token, so that no other term uses the same keys.
+    """
 
     settings: Settings
     token: Token
     wall: Callable[[], float]
-    _count: int = 0
-    _txn: Txn | None = None
-    _packer: CompletionBatchBuilder | None = None
+    _batch_count: int = 0  # batches of this term
+    _txn: Txn | None = None  # the transaction that _batch belongs to
+    _batch: CompletionBatchBuilder | None = None
 
     def add(self, txn: Txn, record: JobRecord, space: int) -> bool:
-        """Put the end of an active job into the transaction; false if there is no room.
+        """Add the completion of an active job to the transaction; return False if it is full.
 
-        Nothing guards it against a cancellation that this node has not seen yet: whichever
-        was first stands for every node, and a user is told of a cancellation only after
-        that has been read back.
+        No guard is needed against a cancellation that this node has not seen yet: the earlier
+        of the two takes precedence at every node, and a user's cancellation is confirmed only
+        after it has been read back.
         """
         if txn is not self._txn:
-            self._txn, self._packer = txn, None
+            self._txn, self._batch = txn, None
         ended = CompletedJob(record.id, record.tasks, record.accepted_at)
-        if self._packer is None or not self._packer.add(ended):
+        if self._batch is None or not self._batch.add(ended):
             if space < 1:
                 return False
             room = records.usable_value_bytes(self.settings.value_bytes)
-            self._packer = CompletionBatchBuilder(room, WallTime(round(self.wall(), 3)))
-            self._packer.add(ended)
-            self._count += 1
-            key = f"{records.COMPLETION_BATCHES}{self.token}.{self._count}"
+            self._batch = CompletionBatchBuilder(room, WallTime(round(self.wall(), 3)))
+            self._batch.add(ended)
+            self._batch_count += 1
+            key = f"{records.COMPLETION_BATCHES}{self.token}.{self._batch_count}"
             txn.guards[key] = ABSENT
-            txn.puts[key] = self._packer.value()  # shares the rows that are still to come
+            txn.puts[key] = self._batch.value()  # includes rows that are added later
         return True
 
 
 @dataclass(slots=True)
 class GarbageCollector:
-    """Deletes what is not needed any more, when nothing else is to be written.
+    """Deletes obsolete keys when there is nothing else to write.
 
-    Packs of submissions all of whose jobs are over: each is on record by its end. Marks of
-    jobs that are done, of which an end's own transaction holds only so many: kept, they would
-    be listed at every start, for ever.
+    A batch of submissions is obsolete once all its jobs are over, since the end of each is
+    recorded elsewhere. The completion bitmaps of a job are obsolete once it is done, and the
+    transaction that records this has space to delete only some of them. If they were kept, they
+    would be listed at every start of a node.
     """
 
     settings: Settings
@@ -65,38 +70,42 @@
     view: View
     leader_version: Revision
     clock: Callable[[], float]
-    _asked: set[str] = field(default_factory=set)
-    _last_batch_change: tuple[int, float] = (
-        -1,
-        0.0,
-    )  # packs that ever came, and since when no more
+    # Keys that were deleted but may still be in the view.
+    _deleted_keys: set[str] = field(default_factory=set)
+    # Number of batches ever added to the view, and when that number last changed.
+    _last_batch_change: tuple[int, float] = (-1, 0.0)
 
     def transaction(self) -> Txn | None:
-        """What can be deleted right now without keeping anybody waiting."""
-        txn = self._deletes()
-        if self._calm() and self.state.write_limiter.wait_s(1.0) <= 0:
-            txn = txn or self._guarded()
-            # Own keys need no reading back again.
+        """Return the deletions that can be made now without delaying other writes, or None.
+
+        The transaction also disables batching if there was no new batch for a while.
+        """
+        txn = self._deletion_txn()
+        if self._is_batching_idle() and self.state.write_limiter.wait_s(1.0) <= 0:
+            txn = txn or self._new_txn()
+            # Without batching, submissions need not be read back before they are confirmed.
             txn.puts[records.BATCHING_ENABLED] = False
             txn.guards[records.BATCHING_ENABLED] = self.view.versions.get(
                 records.BATCHING_ENABLED, ABSENT
             )
         return txn
 
-    def _calm(self) -> bool:
+    def _is_batching_idle(self) -> bool:
+        """Whether batching is enabled and there was no new batch for ``BATCHING_IDLE_S``."""
         now, count = self.clock(), self.view.job_batches.count
         if count != self._last_batch_change[0]:
             self._last_batch_change = count, now
         return self.view.batching_enabled and now - self._last_batch_change[1] > BATCHING_IDLE_S
 
-    def _guarded(self) -> Txn:
+    def _new_txn(self) -> Txn:
         return Txn(guards={records.LEADER_KEY: self.leader_version})
 
-    def _deletes(self) -> Txn | None:
-        self._asked.intersection_update(self._spent())
+    def _deletion_txn(self) -> Txn | None:
+        """Return a transaction with deletions, or None if there are none or it would wait."""
+        self._deleted_keys.intersection_update(self._obsolete_keys())
         most = max(1, self.settings.txn_ops // 2)
-        txn = self._guarded()
-        txn.deletes = set(islice(filter(self._not_asked, self._spent()), most))
+        txn = self._new_txn()
+        txn.deletes = set(islice(filter(self._not_deleted_yet, self._obsolete_keys()), most))
         if not txn.size or self.state.write_limiter.wait_s(float(txn.size)) > 0:
             return None
         for key in txn.deletes:
@@ -104,22 +113,25 @@
                 txn.guards[key] = self.view.versions.get(key, ABSENT)
         return txn
 
-    def _spent(self) -> Iterator[str]:
+    def _obsolete_keys(self) -> Iterator[str]:
         for name in self.view.job_batches.obsolete:
             yield records.JOB_BATCHES + name
         for job in self.view.obsolete_bitmaps:
             for page in self.view.jobs[job].completion_bitmaps:
                 yield records.completion_bitmap_key(job, page)
 
-    def _not_asked(self, key: str) -> bool:
-        return key not in self._asked
+    def _not_deleted_yet(self, key: str) -> bool:
+        return key not in self._deleted_keys
 
     async def sweep(self) -> bool:
-        """True if something was deleted; raises what the state service's client raises."""
+        """Delete some obsolete keys; return whether the transaction succeeded.
+
+        Raises what the client of the state service raises.
+        """
         txn = self.transaction()
         if txn is None:
             return False
         result = await self.state.txn(txn, RequestPriority.BULK)
-        if result.ok:  # shows in the view later: not to be asked for twice
-            self._asked |= txn.deletes
+        if result.ok:  # the view shows the deletion only later; it must not be repeated
+            self._deleted_keys |= txn.deletes
         return result.ok
--- a/dunehold/coordination/persistence/recorder.py
+++ b/dunehold/coordination/persistence/recorder.py
@@ -124,7 +124,7 @@
     _max_ops: int = field(init=False)  # writes per transaction; reduced after a rejection
     # Keys with a write that was not answered and may still be applied.
     _uncertain_keys: set[str] = field(default_factory=set)
-    _next_slot: int = 0  # of the start log
+    _next_slot: int = 0  # slot of the start log that is written next
     _wake: asyncio.Event = field(default_factory=asyncio.Event)
     _written: asyncio.Event = field(default_factory=asyncio.Event)
 
@@ -531,7 +531,8 @@
                 rows.pop(host_id, None)
                 host = self.ledger.hosts.get(host_id)
                 if host is not None:
-                    host.recorded = False  # already, as the deletion may be applied any time
+                    # Set before the write, which may be applied any time from now on.
+                    host.recorded = False
             else:
                 rows[host_id] = wanted
                 included.add(host_id)
