--- a/dunehold/emulator/check.py
+++ b/dunehold/emulator/check.py
@@ -1,7 +1,25 @@
-"""The rules of the protocol, checked against a history alone.
-
-Nothing here comes from the controllers' code: a fault that they share with a checker would
-hide itself. ``Checker`` takes events one by one, so it serves a run as well as its file.
+"""Checks the rules of the protocol against a recorded history.
+
+This module uses none of the controllers' code, because the checker would not notice a fault in
+code that it shares with them. ``Checker`` takes events one at a time, so that it can check a
+run while it goes on as well as a history file afterwards.
+
+| rule | it is broken when |
+| --- | --- |
+| ``ran_twice`` | a task starts while another attempt of it is on a machine |
+| ``quota`` | a team's running tasks exceed its limit of CPUs or GPUs |
+| ``wrong_place`` | a task is on a machine, or in a zone, that its job does not allow |
+| ``ran_cancelled`` | a cancelled job has tasks on machines after the time for cancelling |
+| ``forgotten`` | an accepted job is unknown, is refused, or stays unanswered for too long |
+| ``invented`` | a job that nobody submitted is reported or started |
+| ``not_done`` | a job is reported done before all its tasks are completed |
+| ``went_back`` | a final phase changes, or a job is cancelled without a request of its user |
+| ``nothing_ran`` | jobs are accepted, but no task starts during the whole run |
+| ``too_early`` | a task starts before a dependency of its job is completed |
+| ``left_waiting`` | a job that could start is not started though all faults are over |
+| ``impossible`` | a submission is accepted that has to be refused |
+| ``orphaned`` | a job is still active long after one of its dependencies was cancelled |
+| ``final_answer`` | a job has two final phases, or none when the run has settled |
 """
 
 from __future__ import annotations
@@ -14,20 +32,28 @@
 from dunehold.emulator.history import Event
 
 FINAL_PHASES = ("done", "cancelled")
+# A job counts as forgotten when polls for it stay unanswered for this long while most polls for
+# all jobs are answered.
 UNANSWERED_LIMIT_S = 90.0
-CALM_UNANSWERED_LIMIT_S = 75.0  # once all troubles are over, however others fare
-LEFT_WAITING_LIMIT_S = 90.0  # once all troubles are over, beside a machine that fits
-WAITING_CHECK_INTERVAL_S = 2.0  # between looks for who is left waiting
-# What a submission must not lack; a field that may be null may also be omitted.
+# The same limit once all faults are over. It holds whether or not other polls are answered.
+CALM_UNANSWERED_LIMIT_S = 75.0
+# How long a job may wait beside a machine with room for it once all faults are over.
+LEFT_WAITING_LIMIT_S = 90.0
+WAITING_CHECK_INTERVAL_S = 2.0  # between two checks for jobs that are left waiting
+# Fields that a submission must contain. A field that may be null may also be omitted.
 REQUIRED_FIELDS = (
     "uid", "jobclass", "owner", "shape", "rank", "units", "vcpus", "gpus", "memory_gb",
     "bundle", "size_gb", "together", "spread", "loaner", "expect_s", "snapshot_s", "flush_s",
 )  # fmt: skip
-MIN_DONE_SHARE, LARGEST_JOBS_SHARE, LARGEST_JOBS_START_LIMIT_S = 0.5, 0.1, 240.0
-EPSILON = 1e-6
+MIN_DONE_SHARE = 0.5  # share of each group's jobs that has to be done
+LARGEST_JOBS_SHARE = 0.1  # share of a class's jobs that count as its largest
+LARGEST_JOBS_START_LIMIT_S = 240.0  # from a large job's acceptance to its first start
+EPSILON = 1e-6  # tolerance for sums of floating-point amounts
 
 
 class Breach(NamedTuple):
+    """A broken rule: its name, the time in seconds of the history, and what was seen."""
+
     rule: str
     at: float
     detail: str
@@ -37,7 +63,7 @@
 
 
 class Placement(NamedTuple):
-    """A task on a machine."""
+    """The machine that one attempt of a task is on."""
 
     attempt: int
     host: str
@@ -56,56 +82,73 @@
 
 @dataclass(slots=True)
 class ObservedJob:
-    """What was seen of one job."""
+    """What the history shows of one job; times are in seconds of the history."""
 
-    row: dict[str, Any]
+    row: dict[str, Any]  # the job as its user submitted it
     accepted_at: float | None = None
     refused: bool = False
-    given_up: bool = False
+    given_up: bool = False  # its user stopped retrying the submission
     cancel_requested: bool = False
-    final_phase: str | None = None
+    final_phase: str | None = None  # the first final phase that a user was told
     final_at: float = 0.0
-    final_phases: set[str] = field(default_factory=set)
-    unanswered_since: float | None = None
-    completed: set[int] = field(default_factory=set)
-    started_at: float | None = None  # its first task
-    startable_since: float | None = None  # beside a machine that fits, all troubles being over
+    final_phases: set[str] = field(default_factory=set)  # all that users were told
+    unanswered_since: float | None = (
+        None  # the first poll without an answer since the last answer
+    )
+    completed: set[int] = field(default_factory=set)  # numbers of its completed tasks
+    started_at: float | None = None  # when its first task started
+    # Since when the job could start on a machine that is up; counted once all faults are over.
+    startable_since: float | None = None
 
 
 @dataclass(slots=True)
 class Checker:
-    """``limits``: team -> most CPUs and GPUs, None for no limit. ``flavours``: name -> CPUs,
-    GPUs and GB of a machine, where it should be judged what can run at all."""
+    """Follows a history event by event and records each breach of a rule.
+
+    ``limits`` maps a team to its limits of CPUs and GPUs; None means that there is no limit.
+    ``cancel_s`` is the time in which a cancelled job's tasks have to leave their machines.
+    ``machine_types`` maps a machine type to its CPUs, GPUs and GB of memory; without it, the
+    rule ``impossible`` is not checked.
+    """
 
     limits: dict[str, tuple[float | None, float | None]]
     cancel_s: float
     machine_types: dict[str, tuple[float, float, float]] = field(default_factory=dict)
     breaches: list[Breach] = field(default_factory=list)
     jobs: dict[str, ObservedJob] = field(default_factory=dict)
-    placements: dict[str, list[Placement]] = field(default_factory=dict)  # item -> where it is
+    placements: dict[str, list[Placement]] = field(
+        default_factory=dict
+    )  # task id -> its attempts that are on machines
     starts: int = 0
     completions: int = 0
-    calm_since: float | None = None  # all troubles are over
-    starts_after_cancel: int = 0  # starts of jobs whose users knew them to be cancelled
-    machines: dict[str, Machine] = field(default_factory=dict)  # that are up
+    calm_since: float | None = None  # when the last fault ended; None while faults go on
+    starts_after_cancel: int = 0  # task starts after a user was told that the job is cancelled
+    machines: dict[str, Machine] = field(default_factory=dict)  # name -> a machine that is up
     _machine_usage: dict[str, list[float]] = field(
         default_factory=dict
-    )  # machine -> CPUs, GPUs, GB
+    )  # machine -> CPUs, GPUs and GB in use
     _waiting_checked_at: float = -1e9
-    _team_usage: dict[str, list[float]] = field(default_factory=dict)  # team -> CPUs, GPUs
-    _cancelled: deque[tuple[str, float]] = field(default_factory=deque)  # uid, told at
-    _task_zones: dict[str, Counter[str]] = field(default_factory=dict)  # uid -> tasks in each
+    _team_usage: dict[str, list[float]] = field(
+        default_factory=dict
+    )  # team -> CPUs, GPUs in use
+    # Cancelled jobs and when their users were first told so, in the order of these times.
+    _cancelled: deque[tuple[str, float]] = field(default_factory=deque)
+    _task_zones: dict[str, Counter[str]] = field(
+        default_factory=dict
+    )  # uid -> zone -> tasks on machines
+    # The polls of the last UNANSWERED_LIMIT_S: their times, and whether they were answered.
     _polls: deque[tuple[float, bool]] = field(default_factory=deque)
     _now: float = 0.0
 
     def feed(self, event: Event) -> None:
+        """Processes one event; events have to come in the order of their times."""
         self.advance(event.at)
         handler = _HANDLERS.get(event.kind)
         if handler is not None:
             handler(self, event.data)
 
     def advance(self, now: float) -> None:
-        """Rules that time alone can break."""
+        """Moves the time to ``now`` and checks the rules that are broken by waiting."""
         self._now = max(self._now, now)
         while self._cancelled and now > self._cancelled[0][1] + self.cancel_s:
             uid, _ = self._cancelled.popleft()
@@ -118,7 +161,7 @@
             self._check_left_waiting(now)
 
     def _check_left_waiting(self, now: float) -> None:
-        """Nobody is left waiting beside a machine that has had room for it all the time."""
+        """Records jobs that waited too long although there was always a machine for them."""
         for uid, job in self.jobs.items():
             if not self._could_start(uid, job):
                 job.startable_since = None
@@ -129,24 +172,31 @@
                 job.startable_since = None
 
     def _could_start(self, uid: str, job: ObservedJob) -> bool:
+        """Tells whether a waiting job could start now.
+
+        That is so when its dependencies are done and both its team's limit and the machines
+        that are up leave room for one task, or, for a gang, for all its tasks at once.
+        """
         row = job.row
         if (
             job.accepted_at is None
             or job.final_phase is not None
             or job.cancel_requested
-            or row.get("broken")  # tried ever more seldom, by design of whoever made it
+            # The tasks of a broken job always fail, so that it waits while retries back off.
+            or row.get("broken")
             or uid in self._task_zones
             or len(job.completed) >= row["units"]
             or any(
-                b.cancel_requested or b.final_phase != "done" for b in self._dependencies(job)
+                dependency.cancel_requested or dependency.final_phase != "done"
+                for dependency in self._dependencies(job)
             )
         ):
             return False
         tasks = row["units"] if row["shape"] == "gang" else 1
         need = _task_resources(row)
-        use = self._team_usage.get(row["owner"], [0.0, 0.0])
+        used_by_team = self._team_usage.get(row["owner"], [0.0, 0.0])
         for used, limit, amount in zip(
-            use, self.limits.get(row["owner"], (None, None)), need, strict=False
+            used_by_team, self.limits.get(row["owner"], (None, None)), need, strict=False
         ):
             if limit and used + amount * tasks > limit + EPSILON:
                 return False
@@ -155,18 +205,19 @@
             if _is_allowed_on(row, machine):
                 fits[machine.zone] += self._tasks_that_fit(name, machine, need, tasks)
         if row["shape"] == "gang":
-            most = (tasks + 1) // 2 if row.get("spread") else tasks
-            whole = (
+            max_per_zone = (tasks + 1) // 2 if row.get("spread") else tasks
+            startable_tasks = (
                 max(fits.values(), default=0)
                 if row.get("together")
-                else sum(min(number, most) for number in fits.values())
+                else sum(min(number, max_per_zone) for number in fits.values())
             )
-            return whole >= tasks
+            return startable_tasks >= tasks
         return sum(fits.values()) > 0
 
     def _tasks_that_fit(
         self, name: str, machine: Machine, need: tuple[float, float, float], max_tasks: int
     ) -> int:
+        """Returns how many more tasks the machine has room for, at most ``max_tasks``."""
         used = self._machine_usage.get(name, [0.0, 0.0, 0.0])
         fit = [
             int((room - taken + EPSILON) / amount)
@@ -176,7 +227,11 @@
         return max(0, min([max_tasks, *fit]))
 
     def finish(self, settled: bool) -> list[Breach]:
-        """The end of a run; ``settled``: everything had the time to end."""
+        """Checks the rules that need the whole run, and returns all breaches.
+
+        ``settled`` says that every job had enough time to end, so that each accepted job must
+        have a final phase.
+        """
         accepted = {uid: job for uid, job in self.jobs.items() if job.accepted_at is not None}
         if accepted and not self.starts:
             self._record_breach("nothing_ran", "no task was started")
@@ -192,16 +247,20 @@
         return self.breaches
 
     def underserved_groups(self) -> list[str]:
-        """Why the day has failed though no rule is broken: whom it did not serve.
+        """Lists the groups of jobs that were served too badly although no rule is broken.
 
-        Of each class, team and class's largest jobs at least half must be done, and the
-        largest ones must begin within four minutes. Cancelled jobs and services don't count.
+        In each class, each team, and among the largest tenth of each class's jobs, at least
+        half of the jobs must be done. The largest jobs must also start within
+        ``LARGEST_JOBS_START_LIMIT_S`` of their acceptance. Services, cancelled jobs and jobs
+        that depend on cancelled ones are left out.
         """
         groups: dict[str, list[ObservedJob]] = {}
         for job in self.jobs.values():
             if job.accepted_at is None or job.row["shape"] == "standing":
                 continue
-            if job.cancel_requested or any(b.cancel_requested for b in self._dependencies(job)):
+            if job.cancel_requested or any(
+                dependency.cancel_requested for dependency in self._dependencies(job)
+            ):
                 continue
             for key in (f"class {job.row['jobclass']}", f"team {job.row['owner']}"):
                 groups.setdefault(key, []).append(job)
@@ -224,7 +283,7 @@
         return found
 
     def _dependencies(self, job: ObservedJob) -> list[ObservedJob]:
-        """All jobs that it needs, directly or through others."""
+        """Returns all jobs that a job depends on, directly or through others."""
         found: dict[str, ObservedJob] = {}
         names = list(job.row.get("awaits") or ())
         while names:
@@ -243,7 +302,7 @@
     def _record_breach(self, rule: str, detail: str) -> None:
         self.breaches.append(Breach(rule, self._now, detail))
 
-    # -- what users saw ------------------------------------------------------------------
+    # -- events of users -----------------------------------------------------------------
 
     def _on_job(self, data: dict[str, Any]) -> None:
         self.jobs.setdefault(data["uid"], ObservedJob(data["job"]))
@@ -263,7 +322,7 @@
                 self._record_breach("impossible", f"{job.row.get('uid')} is accepted: {reason}")
 
     def _rejection_reason(self, row: dict[str, Any]) -> str | None:
-        """Why the submission had to be refused, or None."""
+        """Returns why the submission has to be refused, or None if it may be accepted."""
         for name in REQUIRED_FIELDS:
             if row.get(name) is None:
                 return f"{name} is missing"
@@ -312,18 +371,28 @@
         self._mark_accepted(job)
         if phase in FINAL_PHASES:
             job.final_phases.add(phase)
+        # An answer to an earlier question may still say that the job is not over.
         contradicts = phase in FINAL_PHASES or data.get("asked", self._now) >= job.final_at
         if job.final_phase is not None and phase != job.final_phase and contradicts:
             self._record_breach("went_back", f"{uid}: {job.final_phase}, then {phase}")
         if phase == "done":
             self._check_done(uid, job)
-        before = self._dependencies(job)
+        dependencies = self._dependencies(job)
         if phase not in FINAL_PHASES:
-            ends = [b.final_at for b in before if b.final_phase == "cancelled"]
-            if ends and data.get("asked", self._now) > min(ends) + self.cancel_s:
+            cancelled_at = [
+                dependency.final_at
+                for dependency in dependencies
+                if dependency.final_phase == "cancelled"
+            ]
+            if (
+                cancelled_at
+                and data.get("asked", self._now) > min(cancelled_at) + self.cancel_s
+            ):
                 self._record_breach("orphaned", f"{uid} is {phase}, what it needs is cancelled")
         if phase == "cancelled":
-            if not job.cancel_requested and not any(b.cancel_requested for b in before):
+            if not job.cancel_requested and not any(
+                dependency.cancel_requested for dependency in dependencies
+            ):
                 self._record_breach("went_back", f"{uid} was never cancelled by its user")
             if job.final_phase is None:
                 self._cancelled.append((uid, self._now))
@@ -341,6 +410,7 @@
         job = self.jobs.get(uid)
         if job is None or job.accepted_at is None:
             return
+        # A poll that was sent before the job's acceptance may rightly get a 404.
         if data.get("asked", self._now) >= job.accepted_at:
             self._record_breach("forgotten", f"{uid}: 404")
 
@@ -359,7 +429,9 @@
             self._record_breach(
                 "forgotten", f"{uid}: unanswered since {job.unanswered_since:.0f}"
             )
-            job.unanswered_since = self._now
+            job.unanswered_since = (
+                self._now
+            )  # it is reported again only after another such period
 
     def _record_poll(self, uid: str, answered: bool) -> None:
         self._polls.append((self._now, answered))
@@ -372,18 +444,18 @@
             elif job.unanswered_since is None:
                 job.unanswered_since = self._now
 
-    # -- what workers saw ----------------------------------------------------------------
+    # -- events of workers and machines --------------------------------------------------
 
     def _on_task_started(self, data: dict[str, Any]) -> None:
         self.starts += 1
         item = data["item"]
         uid = item.rpartition("/")[0]
-        place = Placement(data["attempt"], data["host"], data["flavour"], data["hall"])
+        placement = Placement(data["attempt"], data["host"], data["flavour"], data["hall"])
         others = self.placements.setdefault(item, [])
         if others:
             where = [other.host for other in others]
-            self._record_breach("ran_twice", f"{item} on {place.host} and {where}")
-        others.append(place)
+            self._record_breach("ran_twice", f"{item} on {placement.host} and {where}")
+        others.append(placement)
         job = self.jobs.get(uid)
         if job is None:
             self._record_breach("invented", f"{item} started")
@@ -394,11 +466,11 @@
             needed = self.jobs.get(need)
             if needed is None or len(needed.completed) < needed.row["units"]:
                 self._record_breach("too_early", f"{item} starts before {need} is done")
-        halls = self._task_zones.setdefault(uid, Counter())
-        halls[place.zone] += 1
-        self._add_usage(job.row, 1, place.host)
+        zones = self._task_zones.setdefault(uid, Counter())
+        zones[placement.zone] += 1
+        self._add_usage(job.row, 1, placement.host)
         self._check_quota(job.row["owner"])
-        self._check_placement(item, job.row, place, data["loaner"], halls)
+        self._check_placement(item, job.row, placement, data["loaner"], zones)
         if job.final_phase == "cancelled":
             self.starts_after_cancel += 1
             if self._now > job.final_at + self.cancel_s:
@@ -437,6 +509,10 @@
         spot: bool,
         zones: Counter[str],
     ) -> None:
+        """Checks a started task against its job's constraints on machines and zones.
+
+        ``zones`` counts the job's tasks on machines by zone, with the started one.
+        """
         if row.get("flavours") and placement.machine_type not in row["flavours"]:
             self._record_breach("wrong_place", f"{item} on type {placement.machine_type}")
         if row.get("hall") and placement.zone != row["hall"]:
@@ -449,25 +525,25 @@
             self._record_breach("wrong_place", f"{item}: too many in {placement.zone}")
 
     def _on_task_ended(self, data: dict[str, Any]) -> None:
-        places = self.placements.get(data["item"], [])
-        for place in places:
-            if (place.attempt, place.host) == (data["attempt"], data["host"]):
-                places.remove(place)
+        attempts = self.placements.get(data["item"], [])
+        for placement in attempts:
+            if (placement.attempt, placement.host) == (data["attempt"], data["host"]):
+                attempts.remove(placement)
                 uid = data["item"].rpartition("/")[0]
                 job = self.jobs.get(uid)
                 if job is not None:
-                    self._add_usage(job.row, -1, place.host)
-                    self._remove_from_zone(uid, place.zone)
+                    self._add_usage(job.row, -1, placement.host)
+                    self._remove_from_zone(uid, placement.zone)
                 break
-        if not places:
+        if not attempts:
             self.placements.pop(data["item"], None)
 
-    def _remove_from_zone(self, uid: str, hall: str) -> None:
-        halls = self._task_zones[uid]
-        halls[hall] -= 1
-        if not halls[hall]:
-            del halls[hall]
-        if not halls:
+    def _remove_from_zone(self, uid: str, zone: str) -> None:
+        zones = self._task_zones[uid]
+        zones[zone] -= 1
+        if not zones[zone]:
+            del zones[zone]
+        if not zones:
             del self._task_zones[uid]
 
     def _on_task_completed(self, data: dict[str, Any]) -> None:
@@ -478,6 +554,7 @@
 
 
 def _task_resources(row: dict[str, Any]) -> tuple[float, float, float]:
+    """Returns the CPUs, GPUs and GB of memory that one task needs."""
     return row["vcpus"], row.get("gpus") or 0.0, row.get("memory_gb") or 0.0
 
 
@@ -510,16 +587,16 @@
 
 
 class Summary(NamedTuple):
-    """What a history comes to, for people."""
+    """Counts of a whole history, and the breaches found in it."""
 
     jobs: int
-    accepted: int
+    accepted: int  # the next three count only accepted jobs
     done: int
     cancelled: int
     open: int
     tasks_completed: int
     starts: int
-    lost_tasks: int  # tasks that were on a machine which went away, or whose lease ran out
+    lost_tasks: int  # tasks that ended because their machine went away or its lease expired
     breaches: list[Breach]
 
 
@@ -529,7 +606,7 @@
     cancel_s: float,
     settled: bool,
 ) -> Summary:
-    """Check a whole history."""
+    """Checks a whole history, with the arguments of ``Checker`` and ``Checker.finish``."""
     checker, lost = Checker(limits, cancel_s), 0
     for event in events:
         checker.feed(event)
@@ -539,6 +616,7 @@
 
 
 def summarize(checker: Checker, lost: int, breaches: list[Breach]) -> Summary:
+    """Builds the summary. ``lost`` is the number of lost tasks, which the caller counts."""
     jobs = [job for job in checker.jobs.values() if job.accepted_at is not None]
     return Summary(
         len(checker.jobs),
--- a/dunehold/emulator/serve/cluster.py
+++ b/dunehold/emulator/serve/cluster.py
@@ -1,4 +1,8 @@
-"""A whole cluster on loopback: state service, cloud, workers, balancer, controllers."""
+"""Runs a whole cluster on loopback addresses.
+
+The state service and the controllers are processes of their own. The cloud, the workers and the
+load balancer run in this process.
+"""
 
 from __future__ import annotations
 
@@ -39,16 +43,23 @@
 )
 from dunehold.transport.http import HttpClient, HttpServer, NoResponse
 
-READY_TIMEOUT_S = 30.0
+READY_TIMEOUT_S = 30.0  # for the state service to answer, and for a controller to get healthy
 HISTORY_FILE = "history.jsonl"
 
 
 class ClusterError(Exception):
-    """One line that says what did not come up, and why."""
+    """The cluster could not start or failed; the text says in one line what and why."""
 
 
 @dataclass(slots=True)
 class Cluster:
+    """The processes, servers and models of one running cluster.
+
+    ``directory`` gets the settings files, the logs, the history and the state service's data.
+    ``net`` is the second octet of all addresses. ``event_listeners`` are called with each event
+    of the history.
+    """
+
     scenario: Scenario
     directory: Path
     net: int = 77
@@ -64,17 +75,21 @@
     load_balancer: LoadBalancerServer = field(init=False)
     controllers: dict[str, SupervisedProcess] = field(default_factory=dict)
     state: SupervisedProcess = field(init=False)
-    machine_servers: dict[str, HostServer] = field(default_factory=dict)
-    unexpected_exits: list[tuple[str, int]] = field(
-        default_factory=list
-    )  # ends nobody asked for
-    failed: asyncio.Event = field(default_factory=asyncio.Event)
-    failure: str = ""
+    machine_servers: dict[str, HostServer] = field(
+        default_factory=dict
+    )  # of machines that are up
+    # Controllers that ended although the emulator didn't kill them, and their exit codes.
+    unexpected_exits: list[tuple[str, int]] = field(default_factory=list)
+    failed: asyncio.Event = field(
+        default_factory=asyncio.Event
+    )  # a part of the emulator failed
+    failure: str = ""  # why the first such part failed
     _servers: list[HostServer | asyncio.Server] = field(default_factory=list)
     _tasks: set[asyncio.Task[Any]] = field(default_factory=set)
     _history_file: Any = None
-    _log_offsets: dict[str, int] = field(default_factory=dict)  # bytes of each controller's log
-    _latest_leader: tuple[int, str] = (0, "")  # the highest token in a log so far, and whose
+    _log_offsets: dict[str, int] = field(default_factory=dict)  # controller -> log bytes read
+    # The highest fencing token that a controller has logged so far, and its name.
+    _latest_leader: tuple[int, str] = (0, "")
 
     def __post_init__(self) -> None:
         scenario = self.scenario
@@ -143,6 +158,7 @@
     # -- machines ------------------------------------------------------------------------
 
     def _on_machine_up(self, agent: WorkerAgent) -> None:
+        """Opens the server of a new machine and adds the machine to its partition groups."""
         machine = agent.worker.machine
         host, _, port = machine.address.rpartition(":")
         self.gate.partitions.groups[machine.name] = (machine.zone, "@machines")
@@ -151,9 +167,9 @@
         self.machine_servers[machine.name] = server
         self.spawn(self._open_server(server, Endpoint(host, int(port))))
 
-    async def _open_server(self, server: HostServer, place: Endpoint) -> None:
+    async def _open_server(self, server: HostServer, endpoint: Endpoint) -> None:
         try:
-            await server.open(place)
+            await server.open(endpoint)
         except PortTaken as error:
             self.fail(str(error))
 
@@ -163,9 +179,10 @@
         if server is not None:
             self.spawn(server.power_off())
 
-    # -- life ----------------------------------------------------------------------------
+    # -- lifecycle -----------------------------------------------------------------------
 
     def spawn(self, work: Any) -> asyncio.Task[Any]:
+        """Runs a coroutine as a task until the cluster stops; its failure fails the cluster."""
         task = asyncio.get_running_loop().create_task(work)
         self._tasks.add(task)
         task.add_done_callback(self._on_task_done)
@@ -178,11 +195,16 @@
             self.fail(str(error) if isinstance(error, PortTaken) else repr(error))
 
     def fail(self, reason: str) -> None:
+        """Marks the cluster as failed; the first reason is kept."""
         self.failure = self.failure or reason
         self.failed.set()
 
     async def start(self, control: HttpServer) -> None:
-        """All of it; ClusterError when something does not come up."""
+        """Starts everything and waits until a controller is healthy.
+
+        Raises ClusterError if an address is in use, if the state service doesn't answer, or if
+        no controller gets healthy within ``READY_TIMEOUT_S``.
+        """
         raise_file_limit()
         try:
             listening = control.start(*self.addresses.control)
@@ -199,6 +221,11 @@
         await self._wait_until_healthy()
 
     async def _start_environment(self) -> None:
+        """Starts all servers and processes except the controllers.
+
+        These are the state service, the cloud, a proxy for each pair of controllers and
+        direction, the load balancer, and the machines that are up from the start.
+        """
         await self._start_state()
         self.cloud_server = create_host_server(
             CLOUD, self.cloud.handle, self.addresses, self.gate
@@ -210,8 +237,8 @@
             for b in range(len(self.addresses.nodes)):
                 if a != b:
                     names = self.addresses.nodes
-                    relay = TcpProxy(names[a], names[b], self.addresses.peer(b), self.gate)
-                    self.spawn(relay.run(self.addresses.peer_proxy(a, b)))
+                    proxy = TcpProxy(names[a], names[b], self.addresses.peer(b), self.gate)
+                    self.spawn(proxy.run(self.addresses.peer_proxy(a, b)))
         self.spawn(self.load_balancer.run(self.addresses.load_balancer))
         for row in self.scenario.flavours:
             for zone in self.scenario.zones:
@@ -233,12 +260,16 @@
             raise ClusterError(f"state service: {self._last_log_line(self.state)}")
 
     async def _state_answers(self) -> bool:
-        if self.state.starts > 1:
+        if self.state.starts > 1:  # it ended and was started again
             raise ClusterError(f"state service: {self._last_log_line(self.state)}")
         return await self.control_state_service(None) is not None
 
     async def control_state_service(self, row: dict[str, Any] | None) -> dict[str, Any] | None:
-        """A command to the state service's process, or a question for its status."""
+        """Sends a command to the state service's process, or asks for its status.
+
+        Without ``row`` it asks for the status. Returns None if there is no answer within 2 s,
+        or if its status isn't 200.
+        """
         client = HttpClient(*self.addresses.state_control, 1)
         body = None if row is None else orjson.dumps(row)
         try:
@@ -260,19 +291,19 @@
             "--operator",
             operator,
         ]
-        child = SupervisedProcess(
+        controller = SupervisedProcess(
             name,
             arguments,
             self.directory / f"{name}.log",
             environment={"LOG_LEVEL": "info"},
         )
-        child.on_exit = lambda code: self._controller_ended(name, code)
-        self.controllers[name] = child
-        self.spawn(child.run())
+        controller.on_exit = lambda code: self._controller_ended(name, code)
+        self.controllers[name] = controller
+        self.spawn(controller.run())
 
     def _controller_ended(self, name: str, code: int) -> None:
         self.history.add("controller", node=name, what="ended", code=code)
-        if code != -9:
+        if code != -9:  # faults kill a controller with SIGKILL
             self.unexpected_exits.append((name, code))
 
     async def _wait_until_healthy(self) -> None:
@@ -288,6 +319,7 @@
         return any(b.healthy for b in self.load_balancer.balancer.backends.values())
 
     async def _wait_for(self, condition: Callable[[], Any]) -> bool:
+        """Checks ``condition`` every 0.1 s; returns False after ``READY_TIMEOUT_S``."""
         for _ in range(int(READY_TIMEOUT_S / 0.1)):
             if await condition():
                 return True
@@ -296,24 +328,24 @@
 
     def _last_log_line(self, child: SupervisedProcess) -> str:
         lines = child.log.read_text(errors="replace").strip().splitlines()
-        return lines[-1] if lines else "it says nothing"
+        return lines[-1] if lines else "its log is empty"
 
     def leader(self) -> str | None:
-        """Who says last in its log that it leads."""
+        """Returns the controller that logged the highest fencing token as a leader, or None."""
         for name, child in self.controllers.items():
             with child.log.open("rb") as log:
                 log.seek(self._log_offsets.get(name, 0))
-                # A line that is still being written is read the next time.
-                whole = log.read().rpartition(b"\n")[0]
-            self._log_offsets[name] = self._log_offsets.get(name, 0) + len(whole)
-            for line in whole.decode(errors="replace").splitlines():
+                # An incomplete last line is left for the next call.
+                complete_lines = log.read().rpartition(b"\n")[0]
+            self._log_offsets[name] = self._log_offsets.get(name, 0) + len(complete_lines)
+            for line in complete_lines.decode(errors="replace").splitlines():
                 if " leads with token " in line:
                     token = int(line.rpartition(" leads with token ")[2].split(":")[0])
                     self._latest_leader = max(self._latest_leader, (token, name))
         return self._latest_leader[1] or None
 
     async def stop(self) -> None:
-        """End everything that was started here, and only that."""
+        """Stops everything that this cluster started, and nothing else."""
         suppress_loop_errors()
         for child in (*self.controllers.values(), getattr(self, "state", None)):
             if child is not None:
--- a/dunehold/emulator/serve/fault_injector.py
+++ b/dunehold/emulator/serve/fault_injector.py
@@ -1,4 +1,4 @@
-"""Faults done to a running cluster, and the log from which a run can be played again."""
+"""Injects faults into a running cluster and logs them, so that a run can be replayed."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 
 class NoSuchTarget(Exception):
-    """The fault names a host that there is not."""
+    """The fault names a controller that does not exist."""
 
 
 def _now() -> float:
@@ -40,14 +40,21 @@
 
 @dataclass(slots=True)
 class FaultInjector:
+    """Injects scheduled faults, faults triggered by events, and faults on request.
+
+    Each injected fault is appended to ``faults.jsonl`` in the cluster's directory, with its
+    time and targets, and to the history.
+    """
+
     cluster: Cluster
-    started_at: float = 0.0
-    injected: list[AnyFault] = field(default_factory=list)
-    _triggers: list[list[Any]] = field(default_factory=list)  # fault, times left
-    _machines_hit: set[str] = field(default_factory=set)  # machines, by events
+    started_at: float = 0.0  # loop time from which the faults' ``at_s`` count
+    injected: list[AnyFault] = field(default_factory=list)  # each with its time and targets
+    # Faults triggered by events, each as [fault, number of times that it may still happen].
+    _triggers: list[list[Any]] = field(default_factory=list)
+    _machines_hit: set[str] = field(default_factory=set)  # machines that an event's fault chose
 
     def schedule(self, planned: list[AnyFault]) -> None:
-        """Those with a time happen then; those ``on`` an event, with it."""
+        """Schedules faults: those with ``on`` at such events, the others by time from now."""
         self.started_at = _now()
         for fault in planned:
             if fault.on:
@@ -57,6 +64,7 @@
         self.cluster.history.listeners.append(self._on_event)
 
     async def _inject_scheduled(self, fault: AnyFault) -> None:
+        """Injects a fault at its time, and again every ``every_s`` until ``until_s``."""
         await asyncio.sleep(max(0.0, self.started_at + fault.at_s - _now()))
         while True:
             await self.inject(fault)
@@ -65,22 +73,35 @@
             await asyncio.sleep(fault.every_s)
 
     def _on_event(self, event: Event) -> None:
-        for rule in self._triggers:
-            fault, left = rule
-            if left <= 0 or event.kind != fault.on or _now() < self.started_at + fault.at_s:
+        """Injects the faults that are triggered by this kind of event.
+
+        A machine fault without hosts or a share hits the event's own machine.
+        """
+        for trigger in self._triggers:
+            fault, times_left = trigger
+            if (
+                times_left <= 0
+                or event.kind != fault.on
+                or _now() < self.started_at + fault.at_s
+            ):
                 continue
             if isinstance(fault, MachineFault) and not (fault.hosts or fault.share):
                 host = event.data.get("host", "")
                 if host in self._machines_hit:
-                    continue  # several events of one moment hit their machine once
+                    # One machine can have several events at the same moment. Its fault has to
+                    # happen only once.
+                    continue
                 self._machines_hit.add(host)
                 fault = msgspec.structs.replace(fault, hosts=[host])
-            rule[1] -= 1
+            trigger[1] -= 1
             self.cluster.spawn(self.inject(fault))
 
     async def inject(self, fault: AnyFault) -> list[str]:
-        """Do it now; what it was done to. What it does for a while ends by itself."""
-        how: dict[type, Callable[[Any], Awaitable[list[str]]]] = {
+        """Injects a fault at once and returns its targets.
+
+        A fault with a duration is undone when that is over. Raises NoSuchTarget.
+        """
+        handlers: dict[type, Callable[[Any], Awaitable[list[str]]]] = {
             MachineFault: self._inject_machine_fault,
             PartitionFault: self._inject_partition,
             StateFault: self._inject_state_fault,
@@ -89,11 +110,12 @@
             CommandDelayFault: self._inject_command_delay,
             ConnectionFloodFault: self._inject_connection_flood,
         }
-        targets = await how[type(fault)](fault)
+        targets = await handlers[type(fault)](fault)
         self._record(fault, targets)
         return targets
 
     def _record(self, fault: AnyFault, targets: list[str]) -> None:
+        """Logs a fault with its actual time and targets instead of its schedule."""
         at = round(_now() - self.started_at, 3)
         changes: dict[str, Any] = {"at_s": at, "on": "", "every_s": 0.0}
         if isinstance(fault, MachineFault | CommandDelayFault):
@@ -108,6 +130,8 @@
             log.write(orjson.dumps(row) + b"\n")
 
     def _undo_after(self, seconds: float, undo: Callable[[], Awaitable[Any]]) -> None:
+        """Calls ``undo`` after so many seconds; 0 means that the fault is permanent."""
+
         async def wait() -> None:
             await asyncio.sleep(seconds)
             await undo()
@@ -150,38 +174,38 @@
             self.cluster.machine_servers[name].delays.add("/orders", fault.delay_s, fault.count)
         return names
 
-    # -- the rest ------------------------------------------------------------------------
+    # -- network, state service, cloud, controllers --------------------------------------
 
     async def _inject_partition(self, fault: PartitionFault) -> list[str]:
-        passages = self.cluster.gate
-        passages.begin(fault.a, fault.b, PartitionMode(fault.mode))
+        network_gate = self.cluster.gate
+        network_gate.begin(fault.a, fault.b, PartitionMode(fault.mode))
         row = {"do": "cut", "a": fault.a, "b": fault.b, "mode": fault.mode}
         await self.cluster.control_state_service(row)
 
         async def join() -> None:
-            passages.end(fault.a, fault.b)
+            network_gate.end(fault.a, fault.b)
             await self.cluster.control_state_service({**row, "do": "join"})
 
         self._undo_after(fault.for_s, join)
         return [fault.a, fault.b]
 
     async def _inject_state_fault(self, fault: StateFault) -> list[str]:
-        tell, child = self.cluster.control_state_service, self.cluster.state
-        child.restart_after_s = fault.back_s
+        send_command, process = self.cluster.control_state_service, self.cluster.state
+        process.restart_after_s = fault.back_s
         if fault.do == "kill":
-            child.kill()
+            process.kill()
         elif fault.do == "kill_after_write":
-            await tell({"do": "die_after_write"})
+            await send_command({"do": "die_after_write"})
         elif fault.do == "delay":
             row = {"do": "delay", "path": fault.path, "seconds": fault.for_s}
-            await tell({**row, "count": fault.count})
+            await send_command({**row, "count": fault.count})
         elif fault.do == "lag":
-            await tell({"do": "lag", "seconds": fault.lag_ms / 1000})
-            self._undo_after(fault.for_s, lambda: tell({"do": "lag", "seconds": 0.0}))
+            await send_command({"do": "lag", "seconds": fault.lag_ms / 1000})
+            self._undo_after(fault.for_s, lambda: send_command({"do": "lag", "seconds": 0.0}))
         else:
-            await tell({"do": fault.do, "node": fault.node})
-            over = {"do": f"{fault.do}_over", "node": fault.node}
-            self._undo_after(fault.for_s, lambda: tell(over))
+            await send_command({"do": fault.do, "node": fault.node})
+            end_command = {"do": f"{fault.do}_over", "node": fault.node}
+            self._undo_after(fault.for_s, lambda: send_command(end_command))
         return ["state"]
 
     async def _inject_cloud_fault(self, fault: CloudFault) -> list[str]:
@@ -192,29 +216,34 @@
             self.cluster.cloud_server.delays.add(fault.path, fault.for_s, fault.count)
             return ["cloud"]
         elif fault.do == "boots":
-            before, cloud.boot_profile = cloud.boot_profile, BootProfile(fault.dead, fault.late)
+            previous_profile, cloud.boot_profile = (
+                cloud.boot_profile,
+                BootProfile(fault.dead, fault.late),
+            )
         else:
             for kind in cloud.capacity:
                 cloud.capacity[kind] = int(cloud.capacity[kind] * fault.factor)
 
-        async def over() -> None:
+        async def end_fault() -> None:
             cloud.down = False
             if fault.do == "boots":
-                cloud.boot_profile = before
+                cloud.boot_profile = previous_profile
 
-        self._undo_after(fault.for_s, over)
+        self._undo_after(fault.for_s, end_fault)
         return ["cloud"]
 
     async def _inject_connection_flood(self, fault: ConnectionFloodFault) -> list[str]:
         names = self._select_controllers(fault.node)
         for name in names:
-            place = self.cluster.addresses.node(self.cluster.addresses.nodes.index(name))
+            endpoint = self.cluster.addresses.node(self.cluster.addresses.nodes.index(name))
             for _ in range(fault.connections):
-                self.cluster.spawn(self._hold_connection(place, _now() + (fault.for_s or 30.0)))
+                self.cluster.spawn(
+                    self._hold_connection(endpoint, _now() + (fault.for_s or 30.0))
+                )
         return names
 
     async def _hold_connection(self, endpoint: Endpoint, until: float) -> None:
-        """One connection that is opened again whenever the other side closes it."""
+        """Holds an idle connection until ``until``; opens it again 1 s after it is closed."""
         while _now() < until:
             with contextlib.suppress(OSError, TimeoutError):
                 reader, writer = await asyncio.open_connection(endpoint.host, endpoint.port)
@@ -226,7 +255,10 @@
             await asyncio.sleep(1.0)
 
     def _select_controllers(self, node: str) -> list[str]:
-        """Controllers by name, or ``leader``, ``any``, ``all``."""
+        """Returns the controllers that ``node`` means: a name, ``leader``, ``any`` or ``all``.
+
+        ``leader`` means the first controller while no leader is known. Raises NoSuchTarget.
+        """
         names = list(self.cluster.controllers)
         if node == "all":
             return names
@@ -235,23 +267,23 @@
         if node == "any":
             return [names[int(self.cluster.rng.integers(len(names)))]]
         if node not in names:
-            raise NoSuchTarget(f"no controller is called {node}")
+            raise NoSuchTarget(f"no controller has the name {node}")
         return [node]
 
     async def _inject_controller_fault(self, fault: ControllerFault) -> list[str]:
-        children = self.cluster.controllers
+        processes = self.cluster.controllers
         names = self._select_controllers(fault.node)
         for n, name in enumerate(names):
             if n and fault.gap_s:
                 await asyncio.sleep(fault.gap_s)
             if fault.do == "kill":
-                children[name].restart_after_s = fault.back_s
-                children[name].kill()
+                processes[name].restart_after_s = fault.back_s
+                processes[name].kill()
             else:
-                self.cluster.spawn(children[name].stall(fault.for_s or 5.0))
+                self.cluster.spawn(processes[name].stall(fault.for_s or 5.0))
         return names
 
 
 def read_fault_log(path: Path) -> list[AnyFault]:
-    """The faults of an earlier run, each with its time and targets."""
+    """Reads the faults of an earlier run, each with its time and targets."""
     return [faults.decode(line) for line in path.read_bytes().splitlines() if line]
--- a/dunehold/emulator/serve/runner.py
+++ b/dunehold/emulator/serve/runner.py
@@ -1,4 +1,4 @@
-"""A scenario from its start to its summary: load, faults, settling, checks."""
+"""Runs one scenario: starts the cluster, submits jobs, injects faults, checks the history."""
 
 from __future__ import annotations
 
@@ -27,23 +27,27 @@
 from dunehold.transport.http import HttpClient
 
 SAMPLE_INTERVAL_S = 1.0
-MAX_LATENCY_US = 120_000_000
+MAX_LATENCY_US = 120_000_000  # longer latencies are recorded as this one
 
 
 def latency_histogram() -> HdrHistogram:
-    """Microseconds, three significant digits."""
+    """Creates a histogram of latencies in microseconds, with three significant digits."""
     return HdrHistogram(1, MAX_LATENCY_US, 3)
 
 
 @dataclass(slots=True)
 class LoadBalancerClient:
-    """Users as the balancer sees them: a connection for each request."""
+    """Sends users' requests to the load balancer, each over a connection of its own.
+
+    The load balancer distributes connections, not requests.
+    """
 
     endpoint: Endpoint
 
     async def request_with_retry_after(
         self, method: str, path: str, body: bytes | None, timeout_s: float
     ) -> tuple[int, bytes, float]:
+        """Returns status, body and ``Retry-After`` in seconds; raises NoResponse."""
         client = HttpClient(self.endpoint.host, self.endpoint.port, 1)
         try:
             return await client.request_with_retry_after(method, path, body, timeout_s)
@@ -53,31 +57,34 @@
 
 @dataclass(slots=True)
 class Sample:
-    """One second of a run."""
+    """What was measured at one moment of a run, ``SAMPLE_INTERVAL_S`` after the one before."""
 
     at_s: float
     machines: int
     tasks: int
-    open_jobs: int  # jobs accepted and not over
-    reports: int  # so far
-    state_served: int
-    cpu_s: dict[str, float]
-    rss_mb: dict[str, float]
+    open_jobs: int  # submitted jobs without a final phase, but not those refused or given up
+    reports: int  # workers' reports since the start
+    state_served: int  # requests that the state service process has handled since its start
+    cpu_s: dict[str, float]  # process name -> CPU seconds since the start
+    rss_mb: dict[str, float]  # process name -> resident memory
 
 
 @dataclass(slots=True)
 class Result:
+    """The outcome of one run."""
+
     scenario: Scenario
     summary: Summary
     duration_s: float
     submission_latencies: HdrHistogram
     poll_latencies: HdrHistogram
-    statuses: dict[int, int]
-    first_start_s: list[float]  # from a job's first try to its first start
-    recoveries: list[tuple[float, float]]  # a leader was killed; the next start after it
-    unexpected_exits: list[tuple[str, int]]
+    statuses: dict[int, int]  # HTTP status of a submission -> number of submissions
+    first_start_s: list[float]  # for each job, from its submission to its first task's start
+    # For each kill of a leader: its time, and the seconds until a later leader started a task.
+    recoveries: list[tuple[float, float]]
+    unexpected_exits: list[tuple[str, int]]  # controllers that ended unasked, and exit codes
     samples: list[Sample]
-    cost: float
+    cost: float  # money spent on machines
     fault_times: list[float]  # seconds from the start
     objectives: list[ObjectiveResult]
 
@@ -92,12 +99,17 @@
 
 @dataclass(slots=True)
 class ScenarioRunner:
-    """Plays one scenario. ``progress`` is told of each second and what is still open."""
+    """Runs one scenario.
+
+    ``replayed_faults`` replaces the scenario's own faults by those of an earlier run.
+    ``on_progress`` is called with each sample's time in seconds and the number of open jobs.
+    Raises ScenarioError if the directory already holds a run.
+    """
 
     scenario: Scenario
     directory: Path
-    net: int = 77
-    replayed_faults: list[AnyFault] | None = None  # the faults of an earlier run instead
+    net: int = 77  # second octet of all addresses
+    replayed_faults: list[AnyFault] | None = None
     on_progress: Callable[[float, int], None] = lambda at_s, left: None
     cluster: Cluster = field(init=False)
     fault_injector: FaultInjector = field(init=False)
@@ -110,25 +122,25 @@
     _statuses: dict[int, int] = field(default_factory=dict)
     _submitted_at: dict[str, float] = field(default_factory=dict)
     _first_start_s: dict[str, float] = field(default_factory=dict)
-    _leader_kills: list[tuple[float, int]] = field(
-        default_factory=list
-    )  # when; last attempt then
-    _highest_attempt: int = 0  # the highest seen; a later leader's are all higher
+    # Kills of leaders that no later leader has followed yet: the time, and the highest number
+    # that an attempt of the killed leader can have.
+    _leader_kills: list[tuple[float, int]] = field(default_factory=list)
+    _highest_attempt: int = 0  # the highest number of an attempt that has started so far
     _recoveries: list[tuple[float, float]] = field(default_factory=list)
     _lost_tasks: int = 0
 
     def __post_init__(self) -> None:
         scenario = self.scenario
         if (self.directory / HISTORY_FILE).exists():
-            # Its state service would come back with the jobs of that run, whose ids are used
-            # again: their users would be told of answers that others got.
+            # The state service would restore the jobs of that run. The new run uses the same
+            # job ids, so that users would get the answers for the old jobs.
             raise ScenarioError(
-                f"{self.directory}: holds an earlier run: name another directory"
+                f"{self.directory}: holds the data of an earlier run; choose another directory"
             )
         self.cluster = Cluster(scenario, self.directory, self.net, [self._on_event])
         self.fault_injector = FaultInjector(self.cluster)
-        door = LoadBalancerClient(self.cluster.addresses.load_balancer)
-        self.users = Users(door, self.cluster.history, self.cluster.rng)
+        client = LoadBalancerClient(self.cluster.addresses.load_balancer)
+        self.users = Users(client, self.cluster.history, self.cluster.rng)
         self.users.on_submitted, self.users.on_polled = (
             self._record_submission,
             self._record_poll,
@@ -140,7 +152,7 @@
             scenario.machine_type_capacities(),
         )
 
-    # -- what is seen --------------------------------------------------------------------
+    # -- events and measurements ---------------------------------------------------------
 
     def _on_event(self, event: Event) -> None:
         self.checker.feed(event)
@@ -156,6 +168,8 @@
         elif event.kind == "off":
             self._lost_tasks += data["why"] in ("gone", "lease")
         elif event.kind == "fault" and self._kills_leader(data):
+            # The upper bits of an attempt's number are its leader's fencing token, the lower 32
+            # bits count the leader's attempts.
             self._leader_kills.append((event.at, self._highest_attempt | 0xFFFFFFFF))
 
     def _kills_leader(self, data: dict[str, Any]) -> bool:
@@ -163,7 +177,10 @@
         return kills and self.cluster.leader() in data["targets"]
 
     def _record_recovery(self, at: float, attempt: int) -> None:
-        """A start by a later leader: its attempts have a higher upper half."""
+        """Notes which kills of a leader are followed by this start of a later leader.
+
+        A later leader has a higher fencing token, so that all its attempts have higher numbers.
+        """
         self._highest_attempt = max(self._highest_attempt, attempt)
         for kill in [kill for kill in self._leader_kills if attempt > kill[1]]:
             self._leader_kills.remove(kill)
@@ -179,7 +196,10 @@
     # -- running -------------------------------------------------------------------------
 
     async def run(self) -> Result:
-        """ClusterError when it does not come up, or something in the emulator fails."""
+        """Runs the scenario to its end and stops everything that it started.
+
+        Raises ClusterError if the cluster doesn't start or if a part of the emulator fails.
+        """
         try:
             await self.cluster.start(ControlServer(self.cluster, self.fault_injector).server)
             return await self._run_scenario()
@@ -220,6 +240,7 @@
         )
 
     async def _run_unless_failed(self, work: Any) -> None:
+        """Waits for ``work``; raises ClusterError as soon as a part of the emulator fails."""
         failed = asyncio.ensure_future(self.cluster.failed.wait())
         working = asyncio.ensure_future(work)
         await asyncio.wait((failed, working), return_when=asyncio.FIRST_COMPLETED)
@@ -230,7 +251,11 @@
         await working
 
     async def _submit(self, arrival: Arrival, intended: float) -> None:
-        """A job that names others comes as soon as those are accepted."""
+        """Submits one job and follows it; a job with dependencies waits for their acceptance.
+
+        The latency of a submission counts from its intended time, except for a job with
+        dependencies, which has none.
+        """
         needed = arrival.job.get("awaits") or ()
         if needed:
             while not all(uid in self.users.accepted for uid in needed):
@@ -240,6 +265,7 @@
             await self.users.run_job(arrival.job, arrival.cancel_after_s, intended)
 
     async def _submit_arrivals(self, arrivals: list[Arrival], began: float) -> None:
+        """Starts each submission at its time; returns when the scenario's duration is over."""
         for arrival in arrivals:
             intended = began + arrival.at_s
             await asyncio.sleep(max(0.0, intended - time.monotonic()))
@@ -248,19 +274,21 @@
         await asyncio.sleep(max(0.0, end - time.monotonic()))
 
     async def _wait_until_settled(self, began: float) -> None:
-        """Until every accepted job has had its final answer, or patience is over."""
+        """Waits until no job is open, at most the scenario's ``settle_s``."""
         end = began + self.scenario.duration_s + self.scenario.settle_s
         while self._count_open_jobs() and time.monotonic() < end:
             await asyncio.sleep(0.5)
         await asyncio.sleep(1.0)
 
     def _count_open_jobs(self) -> int:
+        """Counts submitted jobs that have no final phase and were not refused or given up."""
         return sum(
             job.final_phase is None and not (job.refused or job.given_up)
             for job in self.checker.jobs.values()
         )
 
     async def _sample(self, began: float) -> None:
+        """Takes a sample every ``SAMPLE_INTERVAL_S`` until it is cancelled."""
         cluster = self.cluster
         while True:
             agents = cluster.cloud.workers.values()
@@ -296,7 +324,7 @@
 
 
 def format_result(result: Result) -> str:
-    """The summary of a run, for people."""
+    """Formats the summary of a run as text for people."""
     summary, scenario = result.summary, result.scenario
     lines = [
         f"scenario {scenario.name}, seed {scenario.seed}: {result.duration_s:.0f} s",
@@ -311,25 +339,27 @@
         ("question", result.poll_latencies),
     ):
         if histogram.get_total_count():
-            at = [histogram.get_value_at_percentile(p) / 1000 for p in (50, 99, 99.9)]
+            ms = [histogram.get_value_at_percentile(p) / 1000 for p in (50, 99, 99.9)]
             lines.append(
-                f"{name} latency, ms: p50 {at[0]:.1f}, p99 {at[1]:.1f}, p99.9 {at[2]:.1f}"
+                f"{name} latency, ms: p50 {ms[0]:.1f}, p99 {ms[1]:.1f}, p99.9 {ms[2]:.1f}"
             )
     if result.first_start_s:
-        middle = result.first_start_s[len(result.first_start_s) // 2]
-        lines.append(f"first start of a job: median {middle:.2f} s")
+        median_s = result.first_start_s[len(result.first_start_s) // 2]
+        lines.append(f"first start of a job: median {median_s:.2f} s")
     if result.recoveries:
-        worst = max(seconds for _, seconds in result.recoveries)
-        lines.append(f"first start by the next leader after a kill -9: at most {worst:.1f} s")
+        longest_s = max(seconds for _, seconds in result.recoveries)
+        lines.append(
+            f"first start by the next leader after a kill -9: at most {longest_s:.1f} s"
+        )
     if result.samples:
         last = result.samples[-1]
         for name in sorted(last.cpu_s):
             most = max(sample.rss_mb.get(name, 0.0) for sample in result.samples)
             share = last.cpu_s[name] / max(last.at_s, 1e-9)
             lines.append(f"{name}: {share:.3f} of a core, at most {most:.0f} MB")
-    lines.extend(str(met) for met in result.objectives)
+    lines.extend(str(objective) for objective in result.objectives)
     lines.extend(
-        f"ended by itself: {name} with {code}" for name, code in result.unexpected_exits
+        f"unexpected exit: {name} with code {code}" for name, code in result.unexpected_exits
     )
     lines.extend(f"BROKEN: {breach}" for breach in summary.breaches)
     if not summary.breaches:
