--- a/dunehold/emulator/__init__.py
+++ b/dunehold/emulator/__init__.py
@@ -1,1 +1,1 @@
-"""Everything outside of the controllers, on one machine: models, servers, faults, checks."""
+"""Emulates everything outside the controllers on one machine, with faults and checks."""
--- a/dunehold/emulator/check.py
+++ b/dunehold/emulator/check.py
@@ -13,7 +13,7 @@
 | ``forgotten`` | an accepted job is unknown, is refused, or stays unanswered for too long |
 | ``invented`` | a job that nobody submitted is reported or started |
 | ``not_done`` | a job is reported done before all its tasks are completed |
-| ``went_back`` | a final phase changes, or a job is cancelled without a request of its user |
+| ``went_back`` | a final phase changes, or a job is cancelled at no user's request |
 | ``nothing_ran`` | jobs are accepted, but no task starts during the whole run |
 | ``too_early`` | a task starts before a dependency of its job is completed |
 | ``left_waiting`` | a job that could start is not started though all faults are over |
@@ -92,9 +92,8 @@
     final_phase: str | None = None  # the first final phase that a user was told
     final_at: float = 0.0
     final_phases: set[str] = field(default_factory=set)  # all that users were told
-    unanswered_since: float | None = (
-        None  # the first poll without an answer since the last answer
-    )
+    # The time of the first poll without an answer since the last answer.
+    unanswered_since: float | None = None
     completed: set[int] = field(default_factory=set)  # numbers of its completed tasks
     started_at: float | None = None  # when its first task started
     # Since when the job could start on a machine that is up; counted once all faults are over.
@@ -116,26 +115,22 @@
     machine_types: dict[str, tuple[float, float, float]] = field(default_factory=dict)
     breaches: list[Breach] = field(default_factory=list)
     jobs: dict[str, ObservedJob] = field(default_factory=dict)
-    placements: dict[str, list[Placement]] = field(
-        default_factory=dict
-    )  # task id -> its attempts that are on machines
+    # Task id -> its attempts that are on machines.
+    placements: dict[str, list[Placement]] = field(default_factory=dict)
     starts: int = 0
     completions: int = 0
-    calm_since: float | None = None  # when the last fault ended; None while faults go on
+    calm_since: float | None = None  # when the last fault ended, set by the caller
     starts_after_cancel: int = 0  # task starts after a user was told that the job is cancelled
     machines: dict[str, Machine] = field(default_factory=dict)  # name -> a machine that is up
-    _machine_usage: dict[str, list[float]] = field(
-        default_factory=dict
-    )  # machine -> CPUs, GPUs and GB in use
+    # Machine -> CPUs, GPUs and GB of memory in use.
+    _machine_usage: dict[str, list[float]] = field(default_factory=dict)
     _waiting_checked_at: float = -1e9
-    _team_usage: dict[str, list[float]] = field(
-        default_factory=dict
-    )  # team -> CPUs, GPUs in use
+    # Team -> CPUs and GPUs in use.
+    _team_usage: dict[str, list[float]] = field(default_factory=dict)
     # Cancelled jobs and when their users were first told so, in the order of these times.
     _cancelled: deque[tuple[str, float]] = field(default_factory=deque)
-    _task_zones: dict[str, Counter[str]] = field(
-        default_factory=dict
-    )  # uid -> zone -> tasks on machines
+    # Job's uid -> zone -> number of its tasks on machines there.
+    _task_zones: dict[str, Counter[str]] = field(default_factory=dict)
     # The polls of the last UNANSWERED_LIMIT_S: their times, and whether they were answered.
     _polls: deque[tuple[float, bool]] = field(default_factory=deque)
     _now: float = 0.0
@@ -429,9 +424,8 @@
             self._record_breach(
                 "forgotten", f"{uid}: unanswered since {job.unanswered_since:.0f}"
             )
-            job.unanswered_since = (
-                self._now
-            )  # it is reported again only after another such period
+            # It is reported again only after another such period.
+            job.unanswered_since = self._now
 
     def _record_poll(self, uid: str, answered: bool) -> None:
         self._polls.append((self._now, answered))
--- a/dunehold/emulator/commands.py
+++ b/dunehold/emulator/commands.py
@@ -1,4 +1,4 @@
-"""The emulator's part of the command line: up, emulate, fault, check-history."""
+"""The emulator's commands: up, emulate, experiment, fault, check-history."""
 
 from __future__ import annotations
 
@@ -24,7 +24,8 @@
 from dunehold.emulator.serve.runner import ScenarioRunner, format_result
 from dunehold.transport.http import HttpClient, NoResponse, parse_address
 
-EXIT_FAILED, EXIT_USAGE = 1, 2
+EXIT_FAILED = 1  # the command failed, or the run broke a rule
+EXIT_USAGE = 2  # a mistake in an option or a file
 EXAMPLE_JOB = {
     "uid": "job-000001", "jobclass": "first", "owner": "blue", "shape": "batch",
     "rank": "normal", "units": 8, "vcpus": 1.0, "gpus": 0.0, "memory_gb": 1.0,
@@ -35,20 +36,26 @@
 
 
 def add_parsers(commands: Any) -> None:
-    up = commands.add_parser("up", help="bring up a small whole cluster on this machine")
-    up.add_argument("scenario", nargs="?", type=Path, help="scenario file; default: built in")
-    play = commands.add_parser("emulate", help="play a scenario on this machine")
+    """Adds the emulator's commands to the subparsers of the command line."""
+    up = commands.add_parser("up", help="start a small but complete cluster on this machine")
+    up.add_argument("scenario", nargs="?", type=Path, help="scenario file (default: built in)")
+    play = commands.add_parser("emulate", help="run a scenario on this machine")
     play.add_argument("scenario", type=Path, help="scenario file (TOML)")
-    play.add_argument("--seed", type=int, default=None, help="instead of the scenario's own")
+    play.add_argument("--seed", type=int, default=None, help="replaces the scenario's seed")
     play.add_argument(
-        "--replay", type=Path, default=None, help="the faults.jsonl of an earlier run"
+        "--replay",
+        type=Path,
+        default=None,
+        help="faults.jsonl of an earlier run, whose faults are injected instead",
     )
     for command in (up, play):
         command.add_argument("--directory", type=Path, default=None, help="for logs and data")
         command.add_argument(
             "--net", type=int, default=77, help="addresses 127.NET.*.* are used (default 77)"
         )
-    experiment = commands.add_parser("experiment", help="play a grid of settings, with repeats")
+    experiment = commands.add_parser(
+        "experiment", help="run a scenario over a grid of settings, with repeats"
+    )
     experiment.add_argument("plan", type=Path, help="plan file (TOML)")
     experiment.add_argument("--directory", type=Path, default=None, help="for the report")
     experiment.add_argument("--net", type=int, default=77, help="as for emulate")
@@ -61,7 +68,8 @@
 
 
 def run(options: argparse.Namespace) -> int:
-    how = {
+    """Runs the command that ``options`` name; returns the exit code."""
+    handlers = {
         "up": _up,
         "emulate": _emulate,
         "experiment": _experiment,
@@ -69,13 +77,14 @@
         "check-history": _check_history,
     }
     try:
-        return how[options.command](options)
+        return handlers[options.command](options)
     except (ScenarioError, ClusterError) as error:
         print(f"dunehold: {error}", file=sys.stderr)
         return EXIT_USAGE if isinstance(error, ScenarioError) else EXIT_FAILED
 
 
 def _directory(options: argparse.Namespace) -> Path:
+    """Returns the directory of the options, or a new temporary one."""
     if options.directory is not None:
         return Path(options.directory)
     return Path(tempfile.mkdtemp(prefix="dunehold-"))
@@ -88,7 +97,10 @@
 
 
 async def _run_until_signalled(work: Any) -> Any:
-    """Ctrl-C and SIGTERM end the work, and with it all that it started."""
+    """Runs a coroutine and cancels it at SIGINT or SIGTERM.
+
+    Cancelling also stops everything that the coroutine started. Returns None then.
+    """
     task = asyncio.ensure_future(work)
     loop = asyncio.get_running_loop()
     for number in (signal.SIGINT, signal.SIGTERM):
@@ -108,16 +120,16 @@
     )
     directory, net = _directory(options), _net(options)
     asyncio.run(_run_until_signalled(_run_cluster(scenario, directory, net)))
-    print("ended, with all that it started")
+    print("stopped, with all processes that were started")
     return 0
 
 
 async def _run_cluster(scenario: Scenario, directory: Path, net: int) -> None:
     cluster = Cluster(scenario, directory, net)
-    acts = FaultInjector(cluster)
+    fault_injector = FaultInjector(cluster)
     try:
-        await cluster.start(ControlServer(cluster, acts).server)
-        acts.schedule(scenario.faults)
+        await cluster.start(ControlServer(cluster, fault_injector).server)
+        fault_injector.schedule(scenario.faults)
         _print_welcome(cluster, directory)
         await cluster.failed.wait()
         raise ClusterError(cluster.failure)
@@ -128,23 +140,23 @@
 def _print_welcome(cluster: Cluster, directory: Path) -> None:
     path = directory / "first-job.json"
     path.write_bytes(orjson.dumps({**EXAMPLE_JOB, "owner": cluster.scenario.teams[0].name}))
-    places, me = cluster.addresses, _command_name()
+    plan, command = cluster.addresses, _command_name()
     print(
-        f"{len(cluster.controllers)} controllers serve at {places.load_balancer}; "
+        f"{len(cluster.controllers)} controllers serve at {plan.load_balancer}; "
         f"logs in {directory}\n"
-        "submit a first job, and see it run:\n"
-        f"  {me} submit {path} --server {places.load_balancer} --upload {places.control}\n"
-        f"  {me} status {EXAMPLE_JOB['uid']} --server {places.load_balancer}\n"
+        "submit a first job and watch it run:\n"
+        f"  {command} submit {path} --server {plan.load_balancer} --upload {plan.control}\n"
+        f"  {command} status {EXAMPLE_JOB['uid']} --server {plan.load_balancer}\n"
         "cause a fault:\n"
-        f'  {me} fault \'{{"kind":"controllers","do":"kill","node":"leader"}}\''
-        f" --control {places.control}\n"
-        "Ctrl-C ends it all.",
+        f'  {command} fault \'{{"kind":"controllers","do":"kill","node":"leader"}}\''
+        f" --control {plan.control}\n"
+        "Press Ctrl-C to stop everything.",
         flush=True,
     )
 
 
 def _command_name() -> str:
-    """How this command line was called, for commands that can be copied."""
+    """Returns how this program was called, for the commands that users are told to run."""
     if Path(sys.argv[0]).name == "dunehold":
         return "dunehold"
     return f"{os.path.relpath(sys.executable)} -m dunehold"
@@ -158,18 +170,20 @@
     if options.seed is not None:
         scenario = msgspec.structs.replace(scenario, seed=options.seed)
     if scenario.duration_s <= 0:
-        raise ScenarioError(f"{options.scenario}: duration_s: must be over 0; see dunehold up")
-    again = None
+        raise ScenarioError(
+            f"{options.scenario}: duration_s: must be over 0; dunehold up runs without an end"
+        )
+    replayed_faults = None
     if options.replay is not None:
         try:
-            again = read_fault_log(options.replay)
+            replayed_faults = read_fault_log(options.replay)
         except OSError as error:
             raise ScenarioError(f"{options.replay}: {error.strerror}") from None
         except msgspec.DecodeError as error:
             raise ScenarioError(f"{options.replay}: {error}") from None
     directory = _directory(options)
-    player = ScenarioRunner(scenario, directory, _net(options), again)
-    result = asyncio.run(_run_until_signalled(_run_with_progress_bar(player)))
+    runner = ScenarioRunner(scenario, directory, _net(options), replayed_faults)
+    result = asyncio.run(_run_until_signalled(_run_with_progress_bar(runner)))
     if result is None:
         return EXIT_FAILED
     print(format_result(result))
@@ -177,19 +191,20 @@
     return 0 if result.passed else EXIT_FAILED
 
 
-async def _run_with_progress_bar(player: ScenarioRunner) -> Any:
+async def _run_with_progress_bar(runner: ScenarioRunner) -> Any:
+    """Runs a scenario; shows a progress bar if standard error is a terminal."""
     from rich.progress import Progress, TextColumn
 
-    total = player.scenario.duration_s
+    total = runner.scenario.duration_s
     with Progress(
         *Progress.get_default_columns(), TextColumn("{task.fields[left]} jobs open"),
         disable=not sys.stderr.isatty(), transient=True,
-    ) as bar:  # fmt: skip
-        task = bar.add_task(player.scenario.name, total=total, left=0)
-        player.on_progress = lambda at_s, left: bar.update(
+    ) as progress_bar:  # fmt: skip
+        task = progress_bar.add_task(runner.scenario.name, total=total, left=0)
+        runner.on_progress = lambda at_s, left: progress_bar.update(
             task, completed=min(at_s, total), left=left
         )
-        return await player.run()
+        return await runner.run()
 
 
 def _experiment(options: argparse.Namespace) -> int:
@@ -202,19 +217,23 @@
     directory = _directory(options)
     directory.mkdir(parents=True, exist_ok=True)
     experiment = experiments.Experiment(plan, points, directory, _net(options))
-    rounds = track(
+    result_lines = track(
         experiment.run_all(), plan.name, total=len(points) * plan.repeats,
         disable=not sys.stderr.isatty(),
     )  # fmt: skip
     try:
-        for line in rounds:
+        for line in result_lines:
             print(line, flush=True)
     except KeyboardInterrupt:
-        print("ended early", file=sys.stderr)
+        print("stopped early", file=sys.stderr)
     if not experiment.completed_runs:
         return EXIT_FAILED
     print(f"report: {report.write(experiment)}")
-    return 0 if all(done.result.passed for done in experiment.completed_runs) else EXIT_FAILED
+    return (
+        0
+        if all(completed.result.passed for completed in experiment.completed_runs)
+        else EXIT_FAILED
+    )
 
 
 def _check_history(options: argparse.Namespace) -> int:
@@ -230,7 +249,7 @@
     return EXIT_FAILED if summary.breaches else 0
 
 
-# -- talking to a running emulator ---------------------------------------------------------
+# -- requests to a running emulator ------------------------------------------------------
 
 
 def _fault(options: argparse.Namespace) -> int:
@@ -239,16 +258,17 @@
     except msgspec.DecodeError as error:
         print(f"dunehold: fault: {error}", file=sys.stderr)
         return EXIT_USAGE
-    place = options.control or str(AddressPlan(77, ()).control)
-    return _post(place, FAULTS_PATH, body)
+    control_address = options.control or str(AddressPlan(77, ()).control)
+    return _post(control_address, FAULTS_PATH, body)
 
 
 def upload(control_address: str, job: bytes) -> int:
-    """Give workers a job's description, as users do before they submit it."""
+    """Uploads a job's description for the workers, as users do before they submit the job."""
     return _post(control_address, JOBS_PATH, job)
 
 
 def _post(control_address: str, path: str, body: bytes) -> int:
+    """Sends a request to the control interface and prints a fault's targets or the error."""
     address = parse_address(control_address)
     if address is None:
         print(f"dunehold: {control_address}: must be HOST:PORT", file=sys.stderr)
--- a/dunehold/emulator/disk_storage.py
+++ b/dunehold/emulator/disk_storage.py
@@ -1,8 +1,9 @@
-"""The emulated state service's data on disk: LMDB, fsync at commit, cold restarts.
+"""Keeps the emulated state service's data on disk, in LMDB, with an fsync at each commit.
 
-LMDB was chosen over SQLite (its nearest kin) since a commit here is a handful of keys, reads
-happen only at the start, and a torn write can't be seen: a commit is a new root page. The map
-has a fixed size, so a store that is full says so in one clear error and loses nothing.
+LMDB suits this service better than SQLite, the closest alternative: a commit changes only a few
+keys, data are read only at the start, and a torn write can't be seen, because a commit switches
+to a new root page. LMDB's map has a fixed size, so that a full store fails with one clear error
+and loses no data.
 """
 
 from __future__ import annotations
@@ -16,13 +17,13 @@
 
 from dunehold.emulator.model.store import NoSpace, Row, Store
 
-MAP_BYTES = 1 << 30
+MAP_BYTES = 1 << 30  # default size of the map, 1 GiB
 _REVISION_KEY, _NEXT_GRANT_KEY = b"revision", b"next_grant"
 
 
 @dataclass(slots=True)
 class DiskStorage:
-    """A ``Storage`` in one directory; one process at a time may have it open."""
+    """A ``Storage`` in one directory, which only one process at a time may have open."""
 
     directory: Path
     map_bytes: int = MAP_BYTES
@@ -42,38 +43,43 @@
     def commit(
         self, revision: int, rows: dict[str, Row | None], leases: dict[int, int | None]
     ) -> None:
+        """Writes all changes in one durable transaction, or raises NoSpace and writes none."""
         try:
             with self._env.begin(write=True) as txn:
                 for key, row in rows.items():
                     if row is None:
                         txn.delete(key.encode(), db=self._rows)
                     else:
-                        head = orjson.dumps([row.version, row.lease])
-                        txn.put(key.encode(), head + b"\n" + row.value, db=self._rows)
-                for grant, life in leases.items():
-                    name = b"%d" % grant
-                    if life is None:
-                        txn.delete(name, db=self._leases)
+                        header = orjson.dumps([row.version, row.lease])
+                        txn.put(key.encode(), header + b"\n" + row.value, db=self._rows)
+                for lease_id, duration_ms in leases.items():
+                    lease_key = b"%d" % lease_id
+                    if duration_ms is None:
+                        txn.delete(lease_key, db=self._leases)
                     else:
-                        txn.put(name, b"%d" % life, db=self._leases)
-                        txn.put(_NEXT_GRANT_KEY, b"%d" % (grant + 1), db=self._meta)
+                        txn.put(lease_key, b"%d" % duration_ms, db=self._leases)
+                        txn.put(_NEXT_GRANT_KEY, b"%d" % (lease_id + 1), db=self._meta)
                 txn.put(_REVISION_KEY, b"%d" % revision, db=self._meta)
         except (lmdb.MapFullError, lmdb.DiskError) as error:
             raise NoSpace(str(error)) from None
         self.commits += 1
 
     def restore(self, store: Store, now: float) -> None:
-        """Fill an empty store with what was kept, as after an outage."""
+        """Fills an empty store with the data on disk; each lease gets its full time again."""
         rows: dict[str, Row] = {}
         with self._env.begin() as txn:
             for key, data in txn.cursor(db=self._rows):
-                head, _, value = bytes(data).partition(b"\n")
-                stamp, grant = orjson.loads(head)
-                rows[bytes(key).decode()] = Row(value, stamp, grant)
-            leases = {int(name): int(life) for name, life in txn.cursor(db=self._leases)}
+                header, _, value = bytes(data).partition(b"\n")
+                version, lease_id = orjson.loads(header)
+                rows[bytes(key).decode()] = Row(value, version, lease_id)
+            leases = {
+                int(lease_key): int(duration_ms)
+                for lease_key, duration_ms in txn.cursor(db=self._leases)
+            }
             revision = int(txn.get(_REVISION_KEY, b"0", db=self._meta))
-            grant = int(txn.get(_NEXT_GRANT_KEY, b"1", db=self._meta))
-        store.restore(revision, grant, rows, leases, now)
+            next_lease = int(txn.get(_NEXT_GRANT_KEY, b"1", db=self._meta))
+        store.restore(revision, next_lease, rows, leases, now)
 
     def close(self) -> None:
+        """Closes the database."""
         self._env.close()
--- a/dunehold/emulator/faults.py
+++ b/dunehold/emulator/faults.py
@@ -1,7 +1,7 @@
-"""Faults on command: one vocabulary for scenarios, ``dunehold fault`` and the seeded tests.
+"""The faults that scenarios, ``dunehold fault`` and the seeded tests can inject.
 
-A scenario names what should happen; drawing from the seed turns it into what did happen, with
-every host named, and that is written down so that it can be played again.
+A scenario may leave a fault's targets open. They are then drawn with the run's seed, and the
+fault is logged with the targets that were drawn, so that the run can be replayed.
 """
 
 from __future__ import annotations
@@ -16,31 +16,52 @@
 class Fault(
     msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True, tag_field="kind"
 ):
-    """``at_s``: when, in a scenario; ``on``: with each such event, at most ``times``."""
+    """What all faults have in common: when they happen and for how long.
+
+    Times are in seconds from the start of a scenario. A fault with ``on`` happens at such
+    events of the history, from ``at_s`` on and at most ``times`` times.
+    """
 
     at_s: float = 0.0
-    every_s: float = 0.0  # again and again, until until_s
-    until_s: float = 0.0
+    every_s: float = 0.0  # the interval at which it is repeated; 0 means that it is not
+    until_s: float = 0.0  # the end of the repetitions
     on: str = ""  # a kind of event in the history: completed, on, accepted, told, ...
     times: int = 1
-    for_s: float = 0.0  # how long; 0: for good
+    # Duration. 0 means that the fault is permanent, or the default if it has to end.
+    for_s: float = 0.0
 
 
 class MachineFault(Fault, frozen=True, kw_only=True, tag="machines"):
-    """Machines, by name, share, number or zone; with ``on``, the event's own machine."""
+    """A fault of machines, which are given by name or drawn by count or share.
+
+    With ``on`` and neither names nor a share, it hits the machine of the event.
+
+    | ``do`` | effect |
+    | --- | --- |
+    | ``kill`` | the machine fails, with everything on it |
+    | ``hang`` | it stands still and does not answer for ``for_s``, 10 s by default |
+    | ``slow`` | it runs at ``speed``, permanently |
+    | ``sick`` | every task that starts on it fails |
+    | ``heal`` | ``sick`` ends |
+    | ``take`` | the cloud reclaims it |
+    """
 
     do: Literal["kill", "hang", "slow", "sick", "take", "heal"]
     hosts: list[str] = []
-    share: float = 0.0
+    share: float = 0.0  # of the machines that fit; used if count is 0
     count: int = 0
-    hall: str = ""
-    loaner: bool | None = None
-    speed: float = 0.3
-    silent: bool | None = None  # taken without notice
+    hall: str = ""  # only machines in this zone; empty means any zone
+    loaner: bool | None = None  # only spot machines, or only ordinary ones; None means both
+    speed: float = 0.3  # of a slow machine; 1 is the usual speed
+    silent: bool | None = None  # reclaimed without notice; None means drawn by the cloud
 
 
 class PartitionFault(Fault, frozen=True, kw_only=True, tag="cut"):
-    """Two hosts, zones or groups (``@machines``, ``@nodes``); also ``state``, ``users``."""
+    """A network partition between two hosts, zones or groups (``@machines``, ``@nodes``).
+
+    ``state``, ``cloud`` and ``users`` are hosts, too. ``hold`` delivers what was sent when the
+    partition ends, ``reset`` resets connections, ``refuse`` refuses them.
+    """
 
     a: str
     b: str
@@ -48,7 +69,17 @@
 
 
 class StateFault(Fault, frozen=True, kw_only=True, tag="state"):
-    """The state service, for all or (``refuse``) for one node."""
+    """A fault of the state service.
+
+    | ``do`` | effect |
+    | --- | --- |
+    | ``outage`` | it answers 503 to everybody |
+    | ``refuse`` | it answers 503 to ``node`` alone |
+    | ``lag`` | it answers each request ``lag_ms`` later |
+    | ``kill`` | its process is killed, and started again after ``back_s`` |
+    | ``kill_after_write`` | the same, between its next commit and the answer |
+    | ``delay`` | the next ``count`` requests to ``path`` are handled ``for_s`` later |
+    """
 
     do: Literal["outage", "refuse", "lag", "kill", "kill_after_write", "delay"]
     node: str = ""
@@ -59,6 +90,16 @@
 
 
 class CloudFault(Fault, frozen=True, kw_only=True, tag="cloud"):
+    """A fault of the cloud.
+
+    | ``do`` | effect |
+    | --- | --- |
+    | ``outage`` | it answers 503 to everybody |
+    | ``boots`` | a share ``dead`` of the machines never boots, a share ``late`` boots late |
+    | ``capacity`` | all free capacities are multiplied by ``factor``, permanently |
+    | ``delay`` | the next ``count`` requests to ``path`` are handled ``for_s`` later |
+    """
+
     do: Literal["outage", "boots", "capacity", "delay"]
     dead: float = 0.0
     late: float = 0.0
@@ -68,27 +109,33 @@
 
 
 class ControllerFault(Fault, frozen=True, kw_only=True, tag="controllers"):
-    """``node``: a name, ``leader``, ``any`` or ``all``; one after the other with ``gap_s``."""
+    """Kills controllers with SIGKILL, or stalls them with SIGSTOP until a SIGCONT.
+
+    A stall lasts for ``for_s``, 5 s by default.
+    """
 
     do: Literal["kill", "stop"]
-    node: str = "any"
-    back_s: float = 3.0
-    gap_s: float = 0.0
+    node: str = "any"  # a name, leader, any or all
+    back_s: float = 3.0  # a killed controller is started again after this time
+    gap_s: float = 0.0  # between two controllers
 
 
 class CommandDelayFault(Fault, frozen=True, kw_only=True, tag="orders"):
-    """Direct commands to some machines come late."""
+    """Delays controllers' commands to some machines."""
 
     delay_s: float
-    count: int = 1
+    count: int = 1  # commands for each machine, and machines if hosts is empty
     hosts: list[str] = []
 
 
 class ConnectionFloodFault(Fault, frozen=True, kw_only=True, tag="flood"):
-    """Connections to a controller's user port that are opened, kept, and never used."""
+    """Opens connections to a controller's user port and holds them without using them.
 
-    node: str = "leader"
-    connections: int = 100
+    They are held for ``for_s``, 30 s by default.
+    """
+
+    node: str = "leader"  # a name, leader, any or all
+    connections: int = 100  # to each controller
 
 
 AnyFault = (
@@ -103,12 +150,16 @@
 
 
 def decode(data: bytes) -> AnyFault:
-    """From JSON; ``msgspec.ValidationError`` names the field and the reason."""
+    """Decodes a fault from JSON.
+
+    Raises ``msgspec.DecodeError``, or its subclass ``msgspec.ValidationError``, which names the
+    field and the reason.
+    """
     return msgspec.json.decode(data, type=AnyFault)
 
 
 class FaultCandidate(msgspec.Struct, frozen=True):
-    """A machine that a fault may choose."""
+    """A machine that a fault may choose, with its zone and whether it is a spot machine."""
 
     name: str
     hall: str
@@ -118,15 +169,15 @@
 def choose_machines(
     fault: MachineFault, candidates: list[FaultCandidate], rng: Randomness
 ) -> list[str]:
-    """The machines that a fault means, in their order, drawn where it gives no names."""
+    """Returns the machines that a fault hits; they are drawn if the fault names none."""
     if fault.hosts:
         return [machine.name for machine in candidates if machine.name in set(fault.hosts)]
-    fits = [
+    eligible = [
         machine
         for machine in candidates
         if (not fault.hall or machine.hall == fault.hall)
         and (fault.loaner is None or machine.loaner == fault.loaner)
     ]
-    number = fault.count or round(fault.share * len(fits))
-    drawn = sorted(fits, key=lambda _: rng.random())[:number]
+    drawn_count = fault.count or round(fault.share * len(eligible))
+    drawn = sorted(eligible, key=lambda _: rng.random())[:drawn_count]
     return sorted(machine.name for machine in drawn)
--- a/dunehold/emulator/history.py
+++ b/dunehold/emulator/history.py
@@ -1,4 +1,4 @@
-"""What users, workers and machines saw, written as it happens, for the checker."""
+"""The history of a run: what users, workers and machines observed, for the checker."""
 
 from __future__ import annotations
 
@@ -12,22 +12,27 @@
 
 @dataclass(slots=True)
 class Event:
-    """``at`` in seconds of one clock; ``data`` holds the fields that its kind names.
+    """One event: its time in seconds of the run's clock, its kind, and the fields of its kind.
 
     | kind | fields |
     | --- | --- |
-    | ``job`` | uid, job: made by its user, before the first try |
-    | ``accepted`` | uid, status, asked |
-    | ``refused`` | uid, status: 400 or 422 |
-    | ``gave_up`` | uid, status: never heard that it is accepted |
-    | ``told`` | uid, phase, asked: when the question was sent |
-    | ``missing`` | uid, asked: 404 |
-    | ``silent`` | uid: neither 200 nor 404 |
-    | ``cancel`` | uid: its user asks to cancel it |
-    | ``on``, ``off`` | item, attempt, host; on: flavour, hall, loaner; off: why |
-    | ``completed`` | item, attempt, host |
-    | ``machine`` | host, what; up: flavour, hall, loaner, room (CPUs, GPUs, GB) |
-    | ``fault`` | what, and what it was done to |
+    | ``job`` | uid, job: its user is about to submit it for the first time |
+    | ``accepted`` | uid, status, asked: its submission got 200 or 201 |
+    | ``refused`` | uid, status: its submission got 400 or 422 |
+    | ``gave_up`` | uid, status: its user stopped submitting it without an acceptance |
+    | ``told`` | uid, phase, asked: its user got its phase |
+    | ``missing`` | uid, asked: a poll got 404 |
+    | ``silent`` | uid: a poll got neither 200 nor 404, or no answer |
+    | ``cancel`` | uid: its user requests its cancellation |
+    | ``on`` | item, attempt, host, flavour, hall, loaner: a task came onto a machine |
+    | ``off`` | item, attempt, host, why: a task left its machine |
+    | ``completed`` | item, attempt, host: a task was completed |
+    | ``machine`` | host, what: up (with flavour, hall, loaner, room), notice or gone |
+    | ``controller`` | node, what (ended), code: a controller's process ended |
+    | ``fault`` | what (its kind), targets, fault (as in faults.jsonl) |
+
+    ``asked`` is when the request was sent, or, for ``accepted``, when it should have been sent.
+    ``room`` holds CPUs, GPUs and GB of memory.
     """
 
     at: float
@@ -37,6 +42,8 @@
 
 @dataclass(slots=True)
 class History:
+    """Records events: in memory (``keep``), as JSON lines in ``sink``, and to listeners."""
+
     clock: Callable[[], float]
     sink: IO[bytes] | None = None
     keep: bool = True
@@ -44,9 +51,11 @@
     listeners: list[Callable[[Event], None]] = field(default_factory=list)
 
     def add(self, kind: str, **data: Any) -> None:
+        """Records an event that happens now."""
         self.add_at(self.clock(), kind, **data)
 
     def add_at(self, at: float, kind: str, **data: Any) -> None:
+        """Records an event that happened at the given time."""
         event = Event(at, kind, data)
         if self.keep:
             self.events.append(event)
@@ -57,7 +66,7 @@
 
 
 def read(path: Path) -> Iterator[Event]:
-    """The events of a file; a last line that was cut off by a kill is left out."""
+    """Reads the events of a file and ignores a last line that a kill has left incomplete."""
     with path.open("rb") as file:
         for line in file:
             if not line.endswith(b"\n"):
--- a/dunehold/emulator/measure.py
+++ b/dunehold/emulator/measure.py
@@ -1,7 +1,8 @@
-"""What one machine can emulate: store operations and workers' reports a second.
+"""Measures how much load one machine can emulate, without controllers.
 
-``python -m dunehold.emulator.measure store|reports`` measures the emulator against load of its
-own, with no controllers, so that it is known where it, and not the service, is the limit.
+``python -m dunehold.emulator.measure store`` measures operations of the state service a second,
+``... reports`` measures workers' reports a second. The results show at which load the emulator
+itself limits a run, rather than the service.
 """
 
 from __future__ import annotations
@@ -33,7 +34,8 @@
 from dunehold.emulator.serve.sockets import SocketTransport
 from dunehold.transport.http import HttpClient, HttpServer, NoResponse, Request, Response
 
-MEASUREMENT_S, NETWORK_OCTET = 5.0, 97
+MEASUREMENT_S = 5.0  # duration of each measurement
+NETWORK_OCTET = 97  # second octet of all addresses
 
 
 def _scenario(unlimited: bool) -> Scenario:
@@ -45,31 +47,34 @@
 async def _measure_store(
     unlimited: bool, writes: bool, connections: int = 16
 ) -> tuple[float, float]:
-    """Operations answered with 200, and refused with 429, a second."""
+    """Returns operations a second that are served, and that are refused with 429.
+
+    Reads of missing keys (404) count as served.
+    """
     scenario = _scenario(unlimited)
-    places = AddressPlan(NETWORK_OCTET, config_files.node_names(scenario))
+    addresses = AddressPlan(NETWORK_OCTET, config_files.node_names(scenario))
     with tempfile.TemporaryDirectory() as name:
-        path = config_files.write_state_settings(scenario, places, Path(name))
-        child = SupervisedProcess(
+        path = config_files.write_state_settings(scenario, addresses, Path(name))
+        state_process = SupervisedProcess(
             "state", ["-m", "dunehold.emulator.serve.state", str(path)], Path(name) / "log"
         )
-        running = asyncio.ensure_future(child.run())
-        client = HttpClient(places.state.host, places.state.port, connections)
+        running = asyncio.ensure_future(state_process.run())
+        client = HttpClient(addresses.state.host, addresses.state.port, connections)
         await _wait_until_answering(client)
         counts = {200: 0, 404: 0, 429: 0}
-        ends = time.monotonic() + MEASUREMENT_S
+        end = time.monotonic() + MEASUREMENT_S
 
-        async def ask(number: int) -> None:
+        async def send_requests(number: int) -> None:
             row = {"guards": [], "writes": [{"put": f"k/{number}", "v": "x" * 200}]}
             body = orjson.dumps(row)
-            while time.monotonic() < ends:
+            while time.monotonic() < end:
                 if writes:
                     status, _ = await client.request("POST", "/txn", body, 5.0)
                 else:
                     status, _ = await client.request("GET", f"/store/k/{number}", None, 5.0)
                 counts[status] += 1
 
-        await asyncio.gather(*(ask(number) for number in range(connections)))
+        await asyncio.gather(*(send_requests(number) for number in range(connections)))
         suppress_loop_errors()
         running.cancel()
         await asyncio.gather(running, return_exceptions=True)
@@ -84,29 +89,34 @@
             return
         except NoResponse:
             await asyncio.sleep(0.1)
-    raise SystemExit("the state service does not answer")
+    raise SystemExit("the state service did not answer 100 tries; stopped")
 
 
 async def _measure_reports(workers: int) -> tuple[float, float]:
-    """Reports a second of so many workers, and the share of a core that it all takes."""
-    places = AddressPlan(NETWORK_OCTET, ("dunehold-0",))
+    """Returns the reports a second of so many workers, and the CPU cores that this takes.
+
+    The cores include the server that answers the reports, which runs in the same process.
+    """
+    addresses = AddressPlan(NETWORK_OCTET, ("dunehold-0",))
     answer = orjson.dumps({"baton": 1, "orders": []})
 
     async def serve(request: Request) -> Response:
         return Response(200, answer)
 
-    server = await HttpServer(serve, 1 << 16).start(*places.node(0))
-    carrier = SocketTransport(places, NetworkGate())
+    server = await HttpServer(serve, 1 << 16).start(*addresses.node(0))
+    transport = SocketTransport(addresses, NetworkGate())
     rng = default_rng(1)
     jobs, history = Jobs(rng), History(time.monotonic, None, False)
     agents = []
     for number in range(1, workers + 1):
-        place = places.worker(number)
+        endpoint = addresses.worker(number)
         name = f"m-{number:06d}"
-        carrier.machine_addresses[name] = place.host
-        machine = Machine(name, str(place), "small", "north", True, 4.0, 0.0, 16.0, 50.0, 1.0)
+        transport.machine_addresses[name] = endpoint.host
+        machine = Machine(
+            name, str(endpoint), "small", "north", True, 4.0, 0.0, 16.0, 50.0, 1.0
+        )
         worker = Worker(machine, jobs, 14.0, time.monotonic())
-        agents.append(WorkerAgent(worker, ["dunehold-0"], 0, 2.5, carrier, history, rng))
+        agents.append(WorkerAgent(worker, ["dunehold-0"], 0, 2.5, transport, history, rng))
     for agent in agents:
         agent.start()
     await asyncio.sleep(3.0)
@@ -122,21 +132,22 @@
 
 
 def main(arguments: list[str]) -> int:
+    """Runs the measurement that the first argument names; returns the exit code."""
     raise_file_limit()
     if arguments == ["store"]:
         for unlimited in (False, True):
             for writes in (False, True):
                 served, refused = asyncio.run(_measure_store(unlimited, writes))
                 what = "writes" if writes else "reads"
-                held = "no limit" if unlimited else "own limits"
-                print(f"{what}, {held}: {served:.0f}/s served, {refused:.0f}/s refused")
+                limits = "no limit" if unlimited else "default limits"
+                print(f"{what}, {limits}: {served:.0f}/s served, {refused:.0f}/s refused")
         return 0
     if arguments == ["reports"]:
         for workers in (100, 300, 600, 1200, 2400):
             rate, share = asyncio.run(_measure_reports(workers))
             print(
                 f"{workers} workers: {rate:.0f} reports/s of {workers / 2.5:.0f} due, "
-                f"{share:.2f} of a core with the stub that answers"
+                f"{share:.2f} of a core, including the stub server"
             )
         return 0
     print("usage: python -m dunehold.emulator.measure store|reports", file=sys.stderr)
--- a/dunehold/emulator/objectives.py
+++ b/dunehold/emulator/objectives.py
@@ -1,4 +1,4 @@
-"""How many of a scenario's objectives were met, counted as the protocol counts aims."""
+"""Measures which share of tasks or jobs met each objective, counted as in the protocol."""
 
 from __future__ import annotations
 
@@ -8,39 +8,53 @@
 from dunehold.emulator.history import Event
 from dunehold.emulator.scenario import ObjectiveTable
 
-MIN_COUNTED_RUN_S = 30.0  # a start does not count if the task is stopped by command before that
+# A start does not count if a command stops the task earlier than this.
+MIN_COUNTED_RUN_S = 30.0
 
 
 class ObjectiveResult(NamedTuple):
+    """One objective with the share that met it, of so many tasks or jobs."""
+
     objective: ObjectiveTable
-    share: float  # reached; NaN where nothing counts
+    share: float  # NaN if no task or job counts
     counted: int
 
     def __str__(self) -> str:
-        what = self.objective
-        when = f"{what.times:g}x due" if what.kind == "deadline" else f"{what.within_s:g} s"
-        line = f"{what.kind} {what.jobclass} {when}: {self.share:.3f} of {self.counted}"
-        return f"{line} (aim {what.share:g})"
+        target = self.objective
+        condition = (
+            f"{target.times:g}x due" if target.kind == "deadline" else f"{target.within_s:g} s"
+        )
+        line = (
+            f"{target.kind} {target.jobclass} {condition}: {self.share:.3f} of {self.counted}"
+        )
+        return f"{line} (objective {target.share:g})"
 
 
 @dataclass(slots=True)
 class _JobProgress:
+    """What the history shows of one job; the dictionaries map a task id to a time."""
+
     row: dict[str, Any]
     submitted_at: float
     cancelled: bool = False
-    completed: dict[str, float] = field(default_factory=dict)  # item -> when first
-    started: dict[str, float] = field(default_factory=dict)  # item -> start that counts
-    running: dict[str, float] = field(default_factory=dict)
+    completed: dict[str, float] = field(default_factory=dict)  # first completion
+    started: dict[str, float] = field(default_factory=dict)  # first start that counts
+    running: dict[str, float] = field(default_factory=dict)  # last start, while it is running
 
 
 @dataclass(slots=True)
 class ObjectiveTracker:
-    """Fed with a history's events. ``guarantee`` objectives are not counted here."""
+    """Follows a history event by event and evaluates the objectives.
+
+    Objectives of kind ``guarantee`` are not evaluated here. Cancelled and broken jobs don't
+    count.
+    """
 
     objectives: list[ObjectiveTable]
     _jobs: dict[str, _JobProgress] = field(default_factory=dict)
 
     def feed(self, event: Event) -> None:
+        """Processes one event; events have to come in the order of their times."""
         data = event.data
         if event.kind == "job":
             self._jobs[data["uid"]] = _JobProgress(data["job"], event.at)
@@ -61,12 +75,19 @@
             job.completed.setdefault(item, event.at)
         else:
             began = job.running.pop(item, event.at)
-            halted = event.data["why"] == "halted" and event.at - began < MIN_COUNTED_RUN_S
-            if halted and job.started.get(item) == began:
+            start_ignored = (
+                event.data["why"] == "halted" and event.at - began < MIN_COUNTED_RUN_S
+            )
+            if start_ignored and job.started.get(item) == began:
                 del job.started[item]
 
     def results(self) -> list[ObjectiveResult]:
-        return [self._evaluate(what) for what in self.objectives if what.kind != "guarantee"]
+        """Evaluates each objective on the events so far."""
+        return [
+            self._evaluate(objective)
+            for objective in self.objectives
+            if objective.kind != "guarantee"
+        ]
 
     def _evaluate(self, objective: ObjectiveTable) -> ObjectiveResult:
         jobs = [
@@ -76,18 +97,19 @@
             and not (job.cancelled or job.row.get("broken"))
         ]
         if objective.kind == "wait":
-            good = [
+            met = [
                 self._in_time(job, item, objective) for job in jobs for item in _task_ids(job)
             ]
         elif objective.kind == "deadline":
-            due = [job for job in jobs if job.row.get("due_s")]
-            good = [
-                _completion_time_s(job) <= job.row["due_s"] * objective.times for job in due
+            with_deadline = [job for job in jobs if job.row.get("due_s")]
+            met = [
+                _completion_time_s(job) <= job.row["due_s"] * objective.times
+                for job in with_deadline
             ]
         else:
-            good = [_completion_time_s(job) <= objective.within_s for job in jobs]
+            met = [_completion_time_s(job) <= objective.within_s for job in jobs]
         return ObjectiveResult(
-            objective, sum(good) / len(good) if good else float("nan"), len(good)
+            objective, sum(met) / len(met) if met else float("nan"), len(met)
         )
 
     @staticmethod
@@ -100,7 +122,7 @@
 
 
 def _completion_time_s(job: _JobProgress) -> float:
-    """Seconds from the first try to submit to the last completion."""
+    """Returns seconds from the submission to the last task's completion, infinite before it."""
     if len(job.completed) < job.row["units"]:
         return float("inf")
     return max(job.completed.values()) - job.submitted_at
--- a/dunehold/emulator/record.py
+++ b/dunehold/emulator/record.py
@@ -1,11 +1,11 @@
-"""The records of runs as Parquet, so that other tools read them.
+"""Writes the records of runs as Parquet files, which other tools can read.
 
-| file | a row |
+| file | each row is |
 | --- | --- |
-| ``runs.parquet`` | one run: its settings, counts, percentiles (ms), recoveries, usage |
-| ``samples.parquet`` | one second of a run |
-| ``latencies.parquet`` | one bucket of a run's histogram: what, microseconds, count |
-| ``events.parquet`` | one event of a run's history, its fields as JSON |
+| ``runs.parquet`` | a run: its settings, counts, latency percentiles, recovery, usage |
+| ``samples.parquet`` | a sample of a run, about one a second |
+| ``latencies.parquet`` | a bucket of a run's latencies: kind, microseconds, count |
+| ``events.parquet`` | an event of a run's history, with its fields as JSON |
 """
 
 from __future__ import annotations
@@ -26,7 +26,11 @@
 
 
 def run_row(run: str, point: dict[str, Any], result: Result) -> dict[str, Any]:
-    """One run in one row; latencies in ms, NaN where nothing was measured."""
+    """Builds a run's row of ``runs.parquet``; values that were not measured are NaN.
+
+    Columns ending in ``_ms`` and ``_s`` are in these units, ``_share`` columns in CPU cores.
+    The usage columns are missing if the run ended before its first sample.
+    """
     summary, last = result.summary, result.samples[-1] if result.samples else None
     row: dict[str, Any] = {
         "run": run,
@@ -67,16 +71,19 @@
 
 
 def _median(values: list[float]) -> float:
+    """Returns the upper median of sorted values, NaN if there are none."""
     return values[len(values) // 2] if values else float("nan")
 
 
 def percentile_ms(histogram: HdrHistogram, percentile: float) -> float:
+    """Returns a percentile of a histogram of microseconds in ms, NaN if it is empty."""
     if not histogram.get_total_count():
         return float("nan")
     return float(histogram.get_value_at_percentile(percentile)) / 1000
 
 
 def sample_rows(run: str, result: Result) -> Iterable[dict[str, Any]]:
+    """Yields a run's rows of ``samples.parquet``; ``controllers_`` columns are their sums."""
     for sample in result.samples:
         nodes = [name for name in sample.cpu_s if name.startswith("dunehold-")]
         yield {
@@ -93,6 +100,7 @@
 
 
 def latency_rows(run: str, result: Result) -> Iterable[dict[str, Any]]:
+    """Yields a run's rows of ``latencies.parquet``."""
     for what, histogram in (
         ("submit", result.submission_latencies),
         ("ask", result.poll_latencies),
@@ -107,12 +115,13 @@
 
 
 def event_rows(run: str, history: Path) -> Iterable[dict[str, Any]]:
+    """Yields a run's rows of ``events.parquet`` from its history file."""
     for event in read(history):
         data = orjson.dumps(event.data).decode()
         yield {"run": run, "at": event.at, "kind": event.kind, "data": data}
 
 
 def write(path: Path, rows: Iterable[dict[str, Any]]) -> None:
-    """A Parquet file, compressed; nothing where there are no rows."""
+    """Writes rows to a compressed Parquet file; without rows, the file has no columns."""
     table = pa.Table.from_pylist(list(rows))
     pq.write_table(table, path, compression="zstd")
--- a/dunehold/emulator/report.py
+++ b/dunehold/emulator/report.py
@@ -1,4 +1,4 @@
-"""An experiment's report: one Markdown file with pictures beside it."""
+"""Writes an experiment's report: a Markdown file and its pictures in the same directory."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
     "Simulated machines on one real one. Each figure is the mean of the repeats, with their",
     "spread (highest less lowest) behind it.",
 )
-COLUMNS = (
+COLUMNS = (  # column of runs.parquet, title
     ("submit_p50_ms", "submission p50, ms"),
     ("submit_p99_ms", "p99, ms"),
     ("submit_p99.9_ms", "p99.9, ms"),
@@ -32,7 +32,7 @@
 
 
 def write(experiment: Experiment) -> Path:
-    """``report.md``, with its pictures; the path of the text."""
+    """Writes ``report.md`` and its pictures, and returns the path of ``report.md``."""
     where = experiment.directory
     lines = [f"# {experiment.plan.name}", "", *INTRODUCTION, ""]
     lines += [*_table(experiment), "", *_differences(experiment), ""]
@@ -54,6 +54,7 @@
 
 
 def _format_cell(values: list[float]) -> str:
+    """Formats the mean, with the spread in parentheses if there is more than one value."""
     if not values:
         return "-"
     spread = f" ({max(values) - min(values):.3g})" if len(values) > 1 else ""
@@ -71,7 +72,11 @@
 
 
 def _differences(experiment: Experiment) -> list[str]:
-    """Against the first point; within the spread of either, nothing is claimed."""
+    """Lists the differences of the other points from the first one.
+
+    A difference is left out unless both points have at least two runs and it exceeds the spread
+    of the repeats of both.
+    """
     first, *others = experiment.points
     lines = []
     for point in others:
@@ -99,49 +104,56 @@
     return breaches + ended or ["Every job has exactly one final answer; no rule broken."]
 
 
-def _plot_figures(experiment: Experiment, where: Path) -> list[tuple[str, str]]:
-    made = [("latencies.png", "Submission latency"), ("timeline.png", "Machines, work, faults")]
-    _plot_latencies(experiment, where / made[0][0])
-    _plot_timeline(experiment, where / made[1][0])
+def _plot_figures(experiment: Experiment, directory: Path) -> list[tuple[str, str]]:
+    """Draws the pictures and returns their file names and titles."""
+    pictures = [
+        ("latencies.png", "Submission latency"),
+        ("timeline.png", "Machines, work, faults"),
+    ]
+    _plot_latencies(experiment, directory / pictures[0][0])
+    _plot_timeline(experiment, directory / pictures[1][0])
     if len(experiment.points) > 1:
-        made.append(("growth.png", "How it grows"))
-        _plot_growth(experiment, where / "growth.png")
-    return made
+        pictures.append(("growth.png", "How it grows"))
+        _plot_growth(experiment, directory / "growth.png")
+    return pictures
 
 
 def _plot_latencies(experiment: Experiment, path: Path) -> None:
+    """Draws the distribution of submission latencies of each point, over all its repeats."""
     figure, axes = plt.subplots(figsize=(8, 4))
     for point in experiment.points:
-        merged: dict[int, int] = {}
+        counts: dict[int, int] = {}
         for done in _runs(experiment, point):
             for item in done.result.submission_latencies.get_recorded_iterator():
                 value = int(item.value_iterated_to)
-                merged[value] = merged.get(value, 0) + item.count_added_in_this_iter_step
-        total, seen, xs, ys = sum(merged.values()), 0, [], []
-        for value in sorted(merged):
-            seen += merged[value]
+                counts[value] = counts.get(value, 0) + item.count_added_in_this_iter_step
+        total, cumulative, xs, ys = sum(counts.values()), 0, [], []
+        for value in sorted(counts):
+            cumulative += counts[value]
             xs.append(value / 1000)
-            ys.append(seen / total)
+            ys.append(cumulative / total)
         axes.step(xs, ys, where="post", label=point.label)
     axes.set(xscale="log", xlabel="ms from the intended time", ylabel="share of submissions")
     _save(figure, axes, path)
 
 
 def _plot_timeline(experiment: Experiment, path: Path) -> None:
-    done = experiment.completed_runs[-1]
-    samples = done.result.samples
-    at = [sample.at_s for sample in samples]
+    """Draws machines, running tasks and open jobs of the last run over time."""
+    last_run = experiment.completed_runs[-1]
+    samples = last_run.result.samples
+    times_s = [sample.at_s for sample in samples]
     figure, axes = plt.subplots(figsize=(8, 4))
-    axes.plot(at, [sample.machines for sample in samples], label="machines")
-    axes.plot(at, [sample.tasks for sample in samples], label="tasks on machines")
-    axes.plot(at, [sample.open_jobs for sample in samples], label="jobs open")
-    for fault_at in done.result.fault_times:
+    axes.plot(times_s, [sample.machines for sample in samples], label="machines")
+    axes.plot(times_s, [sample.tasks for sample in samples], label="tasks on machines")
+    axes.plot(times_s, [sample.open_jobs for sample in samples], label="jobs open")
+    for fault_at in last_run.result.fault_times:
         axes.axvline(fault_at, color="grey", linestyle=":")
-    axes.set(xlabel=f"seconds of run {done.run}; grey: a fault", ylabel="count")
+    axes.set(xlabel=f"seconds of run {last_run.run}; grey: a fault", ylabel="count")
     _save(figure, axes, path)
 
 
 def _plot_growth(experiment: Experiment, path: Path) -> None:
+    """Draws some columns of all runs against the points."""
     columns = ("submit_p99_ms", "busiest_share", "most_rss_mb", "first_start_s")
     figure, rows = plt.subplots(2, 2, figsize=(8, 6))
     for axes, column in zip(rows.flat, columns, strict=True):
--- a/dunehold/emulator/scenario.py
+++ b/dunehold/emulator/scenario.py
@@ -1,4 +1,4 @@
-"""A scenario: the deployment, its users and its faults, in one TOML file."""
+"""Scenarios: TOML files that describe a deployment, its users and its faults."""
 
 from __future__ import annotations
 
@@ -10,18 +10,20 @@
 
 from dunehold.emulator.faults import AnyFault, CommandDelayFault, PartitionFault
 
-MAX_CONTROLLERS = 15  # they have so many addresses
+MAX_CONTROLLERS = 15  # AddressPlan has addresses for this many
 
 
 class ScenarioError(Exception):
-    """One line that names the field and the reason."""
+    """Raised for a mistake in a file or an option; one line names the field and the reason."""
 
 
 class Table(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    pass
+    """A table of a scenario file; unknown keys are errors."""
 
 
 class TeamTable(Table, frozen=True, kw_only=True):
+    """A team with its guarantees (``cpus``, ``gpus``) and limits; a limit of 0 means none."""
+
     name: str
     cpus: float = 0.0
     cpus_max: float = 0.0
@@ -30,104 +32,121 @@
 
 
 class FlavourTable(Table, frozen=True, kw_only=True):
+    """A machine type of the cloud."""
+
     label: str
     vcpus: float
     memory_gb: float
-    price: float = 0.5
-    spot_price: float = 0.2
+    price: float = 0.5  # for an hour
+    spot_price: float = 0.2  # for an hour, on average
     boot_s: float = 5.0
-    cache_gb: float = 50.0
+    cache_gb: float = 50.0  # room for images
     fetch_gb_per_s: float = 1.0
     gpus: float = 0.0
-    count: int = 10  # in each zone
-    spot: int = 10
-    up: int = 0  # there from the start, in each zone
+    count: int = 10  # ordinary machines that can be rented in each zone
+    spot: int = 10  # spot machines that can be rented in each zone
+    up: int = 0  # ordinary machines in each zone that are up from the start
 
 
 class StateTable(Table, frozen=True, kw_only=True):
-    rps: float = 250.0
-    write_rps: float = 60.0
-    value_kb: float = 16.0
-    txn_ops: int = 24
-    unlimited: bool = False  # the settings name the rates, the service does not hold to them
-    map_mb: int = 256
+    """Limits of the state service."""
+
+    rps: float = 250.0  # requests a second
+    write_rps: float = 60.0  # changed keys a second
+    value_kb: float = 16.0  # size of a value in KiB
+    txn_ops: int = 24  # changed keys in one transaction
+    # The controllers' settings have the rates, but the service does not enforce them.
+    unlimited: bool = False
+    map_mb: int = 256  # space on disk in MiB
 
 
 class WorkersTable(Table, frozen=True, kw_only=True):
+    """Times of workers.
+
+    They report every ``report_s`` and kill their tasks ``lease_s`` after the last answer. A
+    cancelled job's tasks have to end within ``cancel_s``.
+    """
+
     report_s: float = 2.5
     lease_s: float = 14.0
     cancel_s: float = 39.0
 
 
 class CloudTable(Table, frozen=True, kw_only=True):
-    rps: float = 5.0
-    list_lag_s: float = 2.0
-    dead: float = 0.0
-    late: float = 0.0
-    at_once: float = 0.0
-    spot_per_hour: float = 0.0
-    notice_s: float = 10.0
-    silent: float = 0.15
+    """Properties of the cloud."""
+
+    rps: float = 5.0  # requests a second that it allows
+    list_lag_s: float = 2.0  # least age of a list of machines
+    dead: float = 0.0  # share of machines that never boot
+    late: float = 0.0  # share of machines that boot late
+    at_once: float = 0.0  # share of machines that boot within 2 s
+    spot_per_hour: float = 0.0  # reclaims of each spot machine in an hour, on average
+    notice_s: float = 10.0  # from the notice of a reclaim to the reclaim, on average
+    silent: float = 0.15  # share of reclaims without notice
 
 
 class JobTable(Table, frozen=True, kw_only=True):
-    """A class of jobs; tasks and run times are lognormal around a median."""
+    """A class of jobs; numbers of tasks and run times are lognormal around a median."""
 
     jobclass: str
-    rank: str = "normal"
-    owner: str = ""  # any team
-    per_s: float = 0.0
-    initial: int = 0
-    tasks: float = 1.0
+    rank: str = "normal"  # priority
+    owner: str = ""  # empty means that a team is drawn for each job
+    per_s: float = 0.0  # mean arrivals a second
+    initial: int = 0  # jobs that arrive at the start
+    tasks: float = 1.0  # median number of a job's tasks
     tasks_max: int = 1
-    run_s: float = 5.0
+    run_s: float = 5.0  # median run time
     spread: float = 0.5  # sigma of the run times' logarithm
-    estimate_error: float = 0.3
-    vcpus: float = 1.0
-    memory_gb: float = 1.0
-    size_gb: float = 0.5
-    images: int = 3
-    loaner: bool = True
-    snapshot_s: float = 0.0
-    flush_s: float = 0.5
-    due_factor: float = 0.0
-    cancelled: float = 0.0
-    broken: float = 0.0
+    estimate_error: float = 0.3  # sigma of the logarithm of estimated over true run time
+    vcpus: float = 1.0  # for each task
+    memory_gb: float = 1.0  # for each task
+    size_gb: float = 0.5  # of an image
+    images: int = 3  # number of different images
+    loaner: bool = True  # may run on spot machines
+    snapshot_s: float = 0.0  # interval of checkpoints; 0 means none
+    flush_s: float = 0.5  # time to save a checkpoint
+    due_factor: float = 0.0  # deadline over estimated run time; 0 means no deadline
+    cancelled: float = 0.0  # share of jobs that their users cancel
+    broken: float = 0.0  # share of jobs whose tasks always fail; cancelled after at most 30 s
 
 
 class StageTable(Table, frozen=True, kw_only=True):
-    """One job of a pipeline, as its class says; it needs the stages with these numbers."""
+    """One job of a pipeline: its class, and the numbers of the stages that it depends on."""
 
     jobclass: str
     needs: list[int] = []
 
 
 class PipelineTable(Table, frozen=True, kw_only=True):
-    """Jobs that wait for others, submitted one after another as those are accepted."""
+    """Jobs with dependencies; each is submitted once its dependencies are accepted."""
 
     stages: list[StageTable]
-    per_s: float = 0.0
-    initial: int = 0
-    due_s: float = 0.0  # of the last stage; 0: none
-    cancelled: float = 0.0  # of the first stage, and so of all
+    per_s: float = 0.0  # mean arrivals a second
+    initial: int = 0  # pipelines that arrive at the start
+    due_s: float = 0.0  # deadline of the last stage; 0 means none
+    cancelled: float = 0.0  # share whose first stage, and with it all stages, is cancelled
 
 
 class ObjectiveTable(Table, frozen=True, kw_only=True):
-    kind: str
-    share: float = 0.9
+    """An objective of the operators, as in the controllers' settings."""
+
+    kind: str  # wait, deadline, finished or guarantee
+    share: float = 0.9  # of tasks or jobs that have to meet it
     within_s: float = 0.0
-    times: float = 1.0
-    jobclass: str = msgspec.field(default="*", name="class")
+    times: float = 1.0  # of kind deadline: the multiple of due_s that is still in time
+    jobclass: str = msgspec.field(default="*", name="class")  # * means all classes
 
 
 class Scenario(Table, frozen=True, kw_only=True):
+    """A whole scenario file."""
+
     name: str = "scenario"
     seed: int = 1
-    duration_s: float = 0.0  # of arrivals and faults; 0: until it is ended
-    settle_s: float = 120.0  # at most, for what is left after that
+    duration_s: float = 0.0  # of arrivals and faults; ``dunehold up`` does without it
+    settle_s: float = 120.0  # the longest time after that for the remaining jobs to end
     controllers: int = 3
     zones: list[str] = msgspec.field(default_factory=lambda: ["north", "south"])
-    operator: dict[str, float] = {}
+    operator: dict[str, float] = {}  # settings of operators, with _ instead of -
     teams: list[TeamTable] = []
     flavours: list[FlavourTable] = []
     state: StateTable = StateTable()
@@ -137,20 +156,22 @@
     jobs: list[JobTable] = []
     pipelines: list[PipelineTable] = []
     faults: list[AnyFault] = []
+    # Limits of a controller's machine, as its settings state them.
     core_share: float = 1.0
     ram_mb: float = 266.0
     sockets: int = 1500
 
     def team_limits(self) -> dict[str, tuple[float | None, float | None]]:
-        """Most CPUs and GPUs of each team; None for no limit."""
+        """Returns each team's limits of CPUs and GPUs; None means that there is no limit."""
         return {t.name: (t.cpus_max or None, t.gpus_max or None) for t in self.teams}
 
     def machine_type_capacities(self) -> dict[str, tuple[float, float, float]]:
-        """CPUs, GPUs and GB of each type of machine."""
+        """Returns CPUs, GPUs and GB of memory of each machine type."""
         return {f.label: (f.vcpus, f.gpus, f.memory_gb) for f in self.flavours}
 
 
 def load(path: Path) -> Scenario:
+    """Loads a scenario file; raises ScenarioError."""
     try:
         data = path.read_bytes()
     except OSError as error:
@@ -159,6 +180,7 @@
 
 
 def parse(data: bytes, name: str) -> Scenario:
+    """Parses a scenario. Raises ScenarioError, whose text begins with ``name``."""
     try:
         scenario = msgspec.toml.decode(data, type=Scenario)
     except (msgspec.ValidationError, msgspec.DecodeError, ValueError) as error:
@@ -170,7 +192,7 @@
 
 
 def _validation_error(scenario: Scenario) -> str | None:
-    """What types alone can't tell."""
+    """Returns the first mistake that the fields' types don't rule out, or None."""
     if not 1 <= scenario.controllers <= MAX_CONTROLLERS:
         return f"controllers: must be 1 to {MAX_CONTROLLERS}"
     if not scenario.zones or len(set(scenario.zones)) != len(scenario.zones):
@@ -191,7 +213,7 @@
     for n, pipeline in enumerate(scenario.pipelines):
         for m, stage in enumerate(pipeline.stages):
             if stage.jobclass not in classes:
-                return f"pipelines[{n}].stages[{m}].jobclass: no class is called so"
+                return f"pipelines[{n}].stages[{m}].jobclass: no class is called this"
             if not all(0 <= need < m for need in stage.needs):
                 return f"pipelines[{n}].stages[{m}].needs: must name earlier stages"
     for n, fault in enumerate(scenario.faults):
@@ -210,15 +232,16 @@
         known = {*nodes, *scenario.zones, "@machines", "@nodes", "state", "cloud", "users"}
         for side in (fault.a, fault.b):
             if side not in known and not side.startswith("m-"):
-                return f"a, b: {side} is no host, zone or group"
+                return f"a, b: {side} is not a host, zone or group"
     if isinstance(fault, CommandDelayFault) and fault.delay_s <= 0:
         return "delay_s: must be over 0"
     if fault.every_s and not fault.until_s:
-        return "until_s: must say until when every_s holds"
+        return "until_s: must be set if every_s is set"
     return None
 
 
 def _number_error(value: Any, name: str) -> str | None:
+    """Returns the first number in a nested value that is negative or not finite, or None."""
     if isinstance(value, dict):
         rows = [(f"{name}.{key}" if name else str(key), row) for key, row in value.items()]
     elif isinstance(value, list):
--- a/dunehold/emulator/serve/__init__.py
+++ b/dunehold/emulator/serve/__init__.py
@@ -1,1 +1,1 @@
-"""The emulator over loopback: real HTTP servers and processes, faults on command."""
+"""Runs the emulator on loopback addresses, with real HTTP servers and processes."""
--- a/dunehold/emulator/serve/cluster.py
+++ b/dunehold/emulator/serve/cluster.py
@@ -48,7 +48,7 @@
 
 
 class ClusterError(Exception):
-    """The cluster could not start or failed; the text says in one line what and why."""
+    """Raised when the cluster can't start or a part of it fails; the text says what and why."""
 
 
 @dataclass(slots=True)
@@ -75,14 +75,11 @@
     load_balancer: LoadBalancerServer = field(init=False)
     controllers: dict[str, SupervisedProcess] = field(default_factory=dict)
     state: SupervisedProcess = field(init=False)
-    machine_servers: dict[str, HostServer] = field(
-        default_factory=dict
-    )  # of machines that are up
+    # Machine -> its worker's server, for the machines that are up.
+    machine_servers: dict[str, HostServer] = field(default_factory=dict)
     # Controllers that ended although the emulator didn't kill them, and their exit codes.
     unexpected_exits: list[tuple[str, int]] = field(default_factory=list)
-    failed: asyncio.Event = field(
-        default_factory=asyncio.Event
-    )  # a part of the emulator failed
+    failed: asyncio.Event = field(default_factory=asyncio.Event)  # set when a part has failed
     failure: str = ""  # why the first such part failed
     _servers: list[HostServer | asyncio.Server] = field(default_factory=list)
     _tasks: set[asyncio.Task[Any]] = field(default_factory=set)
@@ -112,7 +109,7 @@
 
     def _create_cloud(self) -> CloudAgent:
         scenario, table = self.scenario, self.scenario.cloud
-        flavours = {
+        machine_types = {
             row.label: MachineType(
                 row.label,
                 row.vcpus,
@@ -128,13 +125,13 @@
             for row in scenario.flavours
         }
         capacity = {
-            HostKind(row.label, zone, loaner): row.spot if loaner else row.count
+            HostKind(row.label, zone, is_spot): row.spot if is_spot else row.count
             for row in scenario.flavours
             for zone in scenario.zones
-            for loaner in (False, True)
+            for is_spot in (False, True)
         }
         cloud = Cloud(
-            flavours, capacity, self.rng, self._worker_address, table.rps, table.list_lag_s
+            machine_types, capacity, self.rng, self._worker_address, table.rps, table.list_lag_s
         )
         cloud.boot_profile = BootProfile(table.dead, table.late, immediate_share=table.at_once)
         cloud.spot_reclaims_per_hour, cloud.spot_notice_s = table.spot_per_hour, table.notice_s
--- a/dunehold/emulator/serve/config_files.py
+++ b/dunehold/emulator/serve/config_files.py
@@ -1,4 +1,4 @@
-"""The settings files that the emulator writes for its controllers and its state service."""
+"""Writes the settings files of the emulator's controllers and its state service."""
 
 from __future__ import annotations
 
@@ -12,15 +12,17 @@
 
 
 def node_names(scenario: Scenario) -> tuple[str, ...]:
+    """Returns the controllers' names by index."""
     return tuple(f"dunehold-{n}" for n in range(scenario.controllers))
 
 
 def zone_of(scenario: Scenario, index: int) -> str:
+    """Returns a controller's zone; controllers are distributed over the zones in turn."""
     return scenario.zones[index % len(scenario.zones)]
 
 
 def partition_groups(scenario: Scenario) -> dict[str, list[str]]:
-    """Zones and groups of the controllers, for cuts."""
+    """Returns for each controller its zone and group, which partitions can name."""
     names = node_names(scenario)
     return {name: [zone_of(scenario, n), "@nodes"] for n, name in enumerate(names)}
 
@@ -28,7 +30,10 @@
 def write_controller_settings(
     scenario: Scenario, addresses: AddressPlan, directory: Path
 ) -> list[Path]:
-    """One settings file a controller, and the operators' file that they share."""
+    """Writes a settings file for each controller and the operators' file that they share.
+
+    Returns the paths of the controllers' files by index.
+    """
     rows = {"bind_outgoing": 1.0, **scenario.operator}
     entries = " ".join(f"({k.replace('_', '-')} {_format_number(v)})" for k, v in rows.items())
     (directory / "operator.sexp").write_text(f"(dunehold {entries})\n")
@@ -90,6 +95,7 @@
 
 
 def write_state_settings(scenario: Scenario, addresses: AddressPlan, directory: Path) -> Path:
+    """Writes the settings of the state service's process and returns the file's path."""
     state = scenario.state
     settings = StateSettings(
         addresses.net,
--- a/dunehold/emulator/serve/control.py
+++ b/dunehold/emulator/serve/control.py
@@ -1,10 +1,14 @@
-"""The control interface: HTTP on loopback, for ``dunehold fault`` and for uploads of jobs.
+"""The emulator's control interface, for ``dunehold fault`` and for uploads of jobs.
+
+It speaks HTTP on a loopback address.
 
 | request | answer |
 | --- | --- |
-| ``GET /`` | what runs: machines, controllers, state service |
-| ``POST /faults`` | a fault as in a scenario; ``{"targets": [...]}`` |
-| ``POST /jobs`` | a job's description, as users upload it for workers |
+| ``GET /`` | the state of machines, controllers and state service |
+| ``POST /faults`` with a fault as in a scenario | ``{"targets": [...]}`` |
+| ``POST /jobs`` with a job's description, as users upload it for workers | ``{}`` |
+
+A mistake in a request gets 400 with the reason.
 """
 
 from __future__ import annotations
@@ -26,6 +30,8 @@
 
 @dataclass(slots=True)
 class ControlServer:
+    """Serves the control interface of one cluster."""
+
     cluster: Cluster
     fault_injector: FaultInjector
     server: HttpServer = field(init=False)
@@ -54,15 +60,18 @@
         return reply(404, {"error": "no such path"})
 
     async def status(self) -> dict[str, Any]:
+        """Returns the answer to ``GET /``."""
         cluster = self.cluster
-        halls = Counter(a.worker.machine.zone for a in cluster.cloud.workers.values())
+        machines_by_zone = Counter(
+            a.worker.machine.zone for a in cluster.cloud.workers.values()
+        )
         running = sum(
             task.on_machine
             for a in cluster.cloud.workers.values()
             for task in a.worker.tasks.values()
         )
         return {
-            "machines": dict(halls),
+            "machines": dict(machines_by_zone),
             "tasks": running,
             "cuts": len(cluster.gate.partitions),
             "controllers": {
--- a/dunehold/emulator/serve/fault_injector.py
+++ b/dunehold/emulator/serve/fault_injector.py
@@ -31,7 +31,7 @@
 
 
 class NoSuchTarget(Exception):
-    """The fault names a controller that does not exist."""
+    """Raised when a fault names a controller that does not exist."""
 
 
 def _now() -> float:
@@ -267,7 +267,7 @@
         if node == "any":
             return [names[int(self.cluster.rng.integers(len(names)))]]
         if node not in names:
-            raise NoSuchTarget(f"no controller has the name {node}")
+            raise NoSuchTarget(f"no controller is called {node}")
         return [node]
 
     async def _inject_controller_fault(self, fault: ControllerFault) -> list[str]:
--- a/dunehold/emulator/serve/runner.py
+++ b/dunehold/emulator/serve/runner.py
@@ -90,10 +90,12 @@
 
     @property
     def faults(self) -> int:
+        """The number of injected faults."""
         return len(self.fault_times)
 
     @property
     def passed(self) -> bool:
+        """Whether no rule was broken and no controller ended unexpectedly."""
         return not self.summary.breaches and not self.unexpected_exits
 
 
--- a/dunehold/emulator/serve/sockets.py
+++ b/dunehold/emulator/serve/sockets.py
@@ -1,4 +1,4 @@
-"""Servers, clients and relays on loopback, all of which obey the cuts."""
+"""Servers, clients and TCP proxies on loopback that apply the network partitions."""
 
 from __future__ import annotations
 
@@ -13,29 +13,37 @@
 from dunehold.emulator.serve.addresses import AddressPlan, Endpoint
 from dunehold.transport.http import HttpClient, HttpServer, NoResponse, Request, Response
 
+# Handles a request, given by method, target, body and the name of the host that sent it.
 HostHandler = Callable[[str, str, bytes | None, str], Awaitable[Reply]]
-MAX_CONNECTIONS = 4096
+MAX_CONNECTIONS = 4096  # to one host's server
 READ_CHUNK_BYTES = 64 * 1024
-POWERED_OFF_SILENCE_S = 150.0  # a machine without power answers nobody, and refuses nobody
+# For this long a machine without power neither answers nor refuses a connection.
+POWERED_OFF_SILENCE_S = 150.0
 
 
 class PortTaken(Exception):
-    """One line that names the address and the reason."""
+    """Raised when a server can't listen; one line names the address and the reason."""
 
 
 @dataclass(slots=True)
 class RequestDelays:
-    """Single messages that come minutes late, though their sender has given up."""
+    """Delays of single requests, each by up to minutes.
 
+    Such a request is carried out although its sender has stopped waiting for the answer.
+    """
+
+    # Path prefix, seconds, and the number of requests that are still to be delayed.
     _rules: list[tuple[str, float, int]] = field(default_factory=list)
 
     def add(self, path: str, seconds: float, count: int) -> None:
+        """Delays the next ``count`` requests whose path starts with ``path``."""
         self._rules.append((path, seconds, count))
 
     def next_delay_s(self, path: str) -> float:
-        for n, (start, seconds, count) in enumerate(self._rules):
-            if path.startswith(start):
-                self._rules[n] = (start, seconds, count - 1)
+        """Returns the delay of a request that has just arrived, 0 if it has none."""
+        for n, (prefix, seconds, count) in enumerate(self._rules):
+            if path.startswith(prefix):
+                self._rules[n] = (prefix, seconds, count - 1)
                 if count <= 1:
                     del self._rules[n]
                 return seconds
@@ -44,31 +52,37 @@
 
 @dataclass
 class HostServer(HttpServer):
-    """One host's server: what a cut or a fault holds back is answered when it comes through."""
+    """The HTTP server of one emulated host, which applies partitions and faults.
+
+    A request that a partition or a fault holds back is handled when it gets through.
+    """
 
     name: str = ""
     addresses: AddressPlan = AddressPlan(0, ())
     gate: NetworkGate = field(default_factory=NetworkGate)
     delays: RequestDelays = field(default_factory=RequestDelays)
     _server: asyncio.Server | None = None
-    powered_off: bool = False  # without power
+    powered_off: bool = False  # the machine is gone; requests are never answered
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         source = self.addresses.host_name(str(writer.get_extra_info("peername")[0]))
         try:
-            # An attempt to connect that a cut held up does not complete later.
-            late = await self.gate.wait_until_open(source, self.name)
+            # A connection attempt that a partition has held back fails instead of completing
+            # when the partition ends.
+            blocked = await self.gate.wait_until_open(source, self.name)
         except OSError:
-            late = True
-        if late:
+            blocked = True
+        if blocked:
             writer.transport.abort()
             return
         await HttpServer._serve(self, reader, writer)
 
     async def open(self, endpoint: Endpoint) -> None:
+        """Starts to listen; raises PortTaken."""
         self._server = await listen(self.start(endpoint.host, endpoint.port), endpoint)
 
     def close(self) -> None:
+        """Stops listening and resets all connections."""
         if self._server is not None:
             self._server.close()
             self._server = None
@@ -76,7 +90,11 @@
             writer.transport.abort()
 
     async def power_off(self) -> None:
-        """Silence, as of a machine without power, then nothing at all."""
+        """Behaves like a machine without power, then closes the server.
+
+        Requests get no answer for ``POWERED_OFF_SILENCE_S``. After that time, connections are
+        refused.
+        """
         self.powered_off = True
         try:
             await asyncio.sleep(POWERED_OFF_SILENCE_S)
@@ -85,6 +103,7 @@
 
 
 async def listen(starting: Awaitable[asyncio.Server], endpoint: Endpoint) -> asyncio.Server:
+    """Awaits a starting server; raises PortTaken if it can't listen at its endpoint."""
     try:
         return await starting
     except OSError as error:
@@ -94,12 +113,17 @@
 def create_host_server(
     name: str, handler: HostHandler, addresses: AddressPlan, gate: NetworkGate
 ) -> HostServer:
+    """Creates the server of the host ``name``, which is not listening yet.
+
+    The sender of a request is identified by its address.
+    """
+
     async def serve(request: Request) -> Response:
         source = addresses.host_name(request.peer)
         await gate.wait_until_open(source, name)
-        wait = server.delays.next_delay_s(request.path)
-        if wait:
-            await asyncio.sleep(wait)
+        delay_s = server.delays.next_delay_s(request.path)
+        if delay_s:
+            await asyncio.sleep(delay_s)
         target = request.path
         if request.query:
             target += "?" + "&".join(f"{key}={value}" for key, value in request.query.items())
@@ -116,11 +140,12 @@
 
 @dataclass(slots=True)
 class SocketTransport:
-    """Messages of workers to controllers, each from its own address."""
+    """Sends workers' requests to controllers, each from its machine's own address."""
 
     addresses: AddressPlan
     gate: NetworkGate
-    machine_addresses: dict[str, str] = field(default_factory=dict)  # name -> address
+    machine_addresses: dict[str, str] = field(default_factory=dict)  # machine -> IP address
+    # Machine and controller -> client.
     _clients: dict[tuple[str, str], HttpClient] = field(default_factory=dict)
     _delayed_sends: set[asyncio.Task[None]] = field(default_factory=set)
 
@@ -133,23 +158,28 @@
         body: bytes | None,
         timeout_s: float,
     ) -> tuple[int, bytes]:
+        """Returns status and body; raises NoResponse if none comes within ``timeout_s``.
+
+        A request that a partition holds back is sent when the partition ends, even after its
+        time is over.
+        """
         client = self._client(source, target)
         if self.gate.partitions.mode_between(source, target) is PartitionMode.HOLD:
-            late = asyncio.get_running_loop().create_task(
+            delayed_send = asyncio.get_running_loop().create_task(
                 self._send_delayed(client, source, target, method, path, body)
             )
-            self._delayed_sends.add(late)
-            late.add_done_callback(self._delayed_sends.discard)
+            self._delayed_sends.add(delayed_send)
+            delayed_send.add_done_callback(self._delayed_sends.discard)
             await asyncio.sleep(timeout_s)
-            raise NoResponse("held back")
+            raise NoResponse("held back by a network partition")
         try:
             await self.gate.wait_until_open(source, target)
-            answer = await client.request(method, path, body, timeout_s)
+            response = await client.request(method, path, body, timeout_s)
             async with asyncio.timeout(timeout_s):
                 await self.gate.wait_until_open(target, source)
         except (OSError, TimeoutError) as error:
             raise NoResponse(str(error)) from None
-        return answer
+        return response
 
     async def _send_delayed(
         self,
@@ -160,7 +190,7 @@
         path: str,
         body: bytes | None,
     ) -> None:
-        """A packet that was held back arrives, and nobody hears the answer."""
+        """Sends a request once the partition ends; nobody gets the answer."""
         with contextlib.suppress(OSError, NoResponse):
             await self.gate.wait_until_open(source, target)
             await client.request(method, path, body, 5.0)
@@ -168,20 +198,24 @@
     def _client(self, source: str, target: str) -> HttpClient:
         key = (source, target)
         if key not in self._clients:
-            place = self.addresses.node(self.addresses.nodes.index(target))
+            endpoint = self.addresses.node(self.addresses.nodes.index(target))
             self._clients[key] = HttpClient(
-                place.host, place.port, 2, self.machine_addresses.get(source)
+                endpoint.host, endpoint.port, 2, self.machine_addresses.get(source)
             )
         return self._clients[key]
 
     def close_clients(self, source: str) -> None:
+        """Closes the connections of a machine that is gone."""
         for key in [key for key in self._clients if key[0] == source]:
             self._clients.pop(key).close()
 
 
 @dataclass(slots=True, eq=False)
 class TcpProxy:
-    """Bytes between two hosts, passed on until a cut between them."""
+    """Forwards TCP connections from one host to another, as partitions allow.
+
+    A partition holds the bytes back, resets the connections, or refuses new ones.
+    """
 
     source: str
     target: str
@@ -191,7 +225,10 @@
     _writers: set[asyncio.StreamWriter] = field(default_factory=set)
 
     async def run(self, listen_endpoint: Endpoint) -> None:
-        """Serves until it is cancelled. Where a cut refuses, nobody listens."""
+        """Serves until it is cancelled; raises PortTaken.
+
+        While a partition refuses connections, the proxy does not listen.
+        """
         self._server = await listen(self._listen(listen_endpoint), listen_endpoint)
         try:
             while True:
@@ -212,14 +249,14 @@
         elif not refused and self._server is None:
             self._server = await self._listen(listen_endpoint)
 
-    async def _listen(self, place: Endpoint) -> asyncio.Server:
-        return await asyncio.start_server(self._serve, place.host, place.port)
+    async def _listen(self, endpoint: Endpoint) -> asyncio.Server:
+        return await asyncio.start_server(self._serve, endpoint.host, endpoint.port)
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self._writers.add(writer)
         try:
             if await self.gate.wait_until_open(self.source, self.target):
-                return
+                return  # an attempt to connect that was held back fails
             remote = await asyncio.open_connection(
                 self.target_endpoint.host, self.target_endpoint.port
             )
@@ -244,21 +281,24 @@
 async def forward_streams(
     near: StreamPair, far: StreamPair, gate: NetworkGate, a: str, b: str
 ) -> None:
-    """Pass bytes both ways until either side closes."""
+    """Forwards bytes in both directions until either side closes.
+
+    Both directions are held back while a partition holds back messages from ``a`` to ``b``.
+    """
 
-    async def pump(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def forward(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         while data := await reader.read(READ_CHUNK_BYTES):
             await gate.wait_until_open(a, b)
             writer.write(data)
             await writer.drain()
 
-    ways = [
-        asyncio.ensure_future(pump(near[0], far[1])),
-        asyncio.ensure_future(pump(far[0], near[1])),
+    directions = [
+        asyncio.ensure_future(forward(near[0], far[1])),
+        asyncio.ensure_future(forward(far[0], near[1])),
     ]
     try:
-        await asyncio.wait(ways, return_when=asyncio.FIRST_COMPLETED)
+        await asyncio.wait(directions, return_when=asyncio.FIRST_COMPLETED)
     finally:
-        for way in ways:
-            way.cancel()
-        await asyncio.gather(*ways, return_exceptions=True)
+        for direction in directions:
+            direction.cancel()
+        await asyncio.gather(*directions, return_exceptions=True)
--- a/dunehold/emulator/serve/state.py
+++ b/dunehold/emulator/serve/state.py
@@ -1,7 +1,8 @@
-"""The emulated state service as a process of its own, so that it can be killed and come back.
+"""Runs the emulated state service in its own process, which can be killed and restarted.
 
-``python -m dunehold.emulator.serve.state SETTINGS.json``; the control interface takes what the
-emulator says: cuts, outages, refusals, lag, delays, or to die between a write and its answer.
+``python -m dunehold.emulator.serve.state SETTINGS.json``. Through the control interface, the
+emulator begins and ends partitions, outages, refusals, lag and delays, and makes the process
+die between a write and its answer.
 """
 
 from __future__ import annotations
@@ -30,27 +31,30 @@
 
 
 class StateSettings(msgspec.Struct, frozen=True):
-    net: int
-    nodes: list[str]
-    labels: dict[str, list[str]]
-    directory: str
-    map_mb: int
-    rps: float | None
-    write_rps: float | None
-    value_bytes: int
-    txn_ops: int
+    """The settings file of this process."""
+
+    net: int  # second octet of all addresses
+    nodes: list[str]  # names of the controllers by index
+    labels: dict[str, list[str]]  # controller -> its zone and groups, which partitions can name
+    directory: str  # of the data
+    map_mb: int  # space on disk in MiB
+    rps: float | None  # requests a second; None means no limit
+    write_rps: float | None  # changed keys a second; None means no limit
+    value_bytes: int  # largest size of a value
+    txn_ops: int  # most changed keys in one transaction
 
 
 @dataclass(slots=True)
 class CrashingStorage:
-    """Ends the process once a commit is on disk and before anybody is told."""
+    """Kills the process, if asked to, when a commit is on disk and before it is answered."""
 
     inner: DiskStorage
-    commits_until_crash: int = 0  # with so many more commits; 0: it does not
+    commits_until_crash: int = 0  # at this commit of keys from now; 0 means never
 
     def commit(
         self, revision: int, rows: dict[str, Row | None], leases: dict[int, int | None]
     ) -> None:
+        """Commits; raises NoSpace."""
         self.inner.commit(revision, rows, leases)
         if self.commits_until_crash and rows:
             self.commits_until_crash -= 1
@@ -60,9 +64,11 @@
 
 @dataclass(slots=True)
 class StateProcess:
+    """The state service with its server, its storage and its control interface."""
+
     settings: StateSettings
     gate: NetworkGate = field(default_factory=NetworkGate)
-    lag_s: float = 0.0
+    lag_s: float = 0.0  # delay of each request
     storage: CrashingStorage = field(init=False)
     agent: StateAgent = field(init=False)
     server: HostServer = field(init=False)
@@ -80,12 +86,13 @@
         self.gate.partitions.groups.update(labels)
 
     async def run(self) -> None:
-        places = AddressPlan(self.settings.net, tuple(self.settings.nodes))
+        """Restores the data and serves until the process ends; raises PortTaken."""
+        addresses = AddressPlan(self.settings.net, tuple(self.settings.nodes))
         self.storage.inner.restore(self.agent.store, asyncio.get_running_loop().time())
-        self.server = create_host_server(STATE, self._handle, places, self.gate)
-        await self.server.open(places.state)
+        self.server = create_host_server(STATE, self._handle, addresses, self.gate)
+        await self.server.open(addresses.state)
         control = HttpServer(self._handle_control, 64)
-        await control.start(places.state_control.host, places.state_control.port)
+        await control.start(addresses.state_control.host, addresses.state_control.port)
         await self.agent.run()
 
     async def _handle(self, method: str, target: str, body: bytes | None, source: str) -> Reply:
@@ -103,6 +110,7 @@
         return Response(answer.status, answer.body)
 
     def status(self) -> dict[str, Any]:
+        """Returns the answer to ``GET`` on the control interface."""
         store = self.agent.store
         return {
             "pid": os.getpid(),
@@ -114,6 +122,7 @@
         }
 
     def _run_command(self, row: dict[str, Any]) -> Reply:
+        """Carries out a command of the emulator; raises Malformed if it is unknown."""
         store, now = self.agent.store, asyncio.get_running_loop().time()
         match row["do"]:
             case "cut":
@@ -135,12 +144,13 @@
             case "die_after_write":
                 self.storage.commits_until_crash = 1
             case other:
-                raise Malformed(f"{other}: no such command")
+                raise Malformed(f"unknown command {other}")
         self.agent.wake_watches()
         return reply(200, {})
 
 
 def main(arguments: list[str]) -> int:
+    """Runs the state service with the settings file in ``arguments``; returns the exit code."""
     settings = msgspec.json.decode(Path(arguments[0]).read_bytes(), type=StateSettings)
     raise_file_limit()
     try:
--- a/dunehold/emulator/workload.py
+++ b/dunehold/emulator/workload.py
@@ -1,4 +1,4 @@
-"""Jobs of a scenario's classes: what they are and when they come, fixed before the run."""
+"""Generates a scenario's jobs and their arrival times before the run."""
 
 from __future__ import annotations
 
@@ -11,13 +11,19 @@
 
 
 class Arrival(NamedTuple):
+    """One job, when it is submitted, and how long after its acceptance its user cancels it."""
+
     at_s: float
     job: dict[str, Any]
     cancel_after_s: float | None
 
 
 def generate_arrivals(scenario: Scenario, rng: Generator) -> list[Arrival]:
-    """Open-loop: nothing that happens in the run moves an arrival."""
+    """Generates all arrivals in the order of their times.
+
+    The load is open-loop: nothing that happens in the run changes when a job arrives. Only a
+    job with dependencies waits until these are accepted.
+    """
     times: list[tuple[float, JobTable]] = []
     for table in scenario.jobs:
         times.extend((0.0, table) for _ in range(table.initial))
@@ -28,17 +34,20 @@
                 break
             times.append((at, table))
     times.sort(key=lambda row: row[0])
-    found = [_arrival(scenario, table, n, at, rng) for n, (at, table) in enumerate(times)]
+    arrivals = [_arrival(scenario, table, n, at, rng) for n, (at, table) in enumerate(times)]
     if scenario.pipelines:
-        found += _pipeline_arrivals(scenario, len(found), rng)
-        found.sort(key=lambda arrival: arrival.at_s)
-    return found
+        arrivals += _pipeline_arrivals(scenario, len(arrivals), rng)
+        arrivals.sort(key=lambda arrival: arrival.at_s)
+    return arrivals
 
 
 def _pipeline_arrivals(scenario: Scenario, first: int, rng: Generator) -> list[Arrival]:
-    """Each stage's job names those of the stages that it needs."""
+    """Generates the pipelines' jobs, which name the jobs that they depend on.
+
+    Their ids count on from ``first``.
+    """
     classes = {table.jobclass: table for table in scenario.jobs}
-    found: list[Arrival] = []
+    arrivals: list[Arrival] = []
     for pipeline in scenario.pipelines:
         times = [0.0] * pipeline.initial
         at = 0.0
@@ -48,19 +57,21 @@
                 break
             times.append(at)
         for at in times:
-            names: list[str] = []
+            stage_uids: list[str] = []
             cancelled = bool(rng.random() < pipeline.cancelled)
             for number, stage in enumerate(pipeline.stages):
                 table = classes[stage.jobclass]
-                job = _arrival(scenario, table, first + len(found), at, rng).job
+                job = _arrival(scenario, table, first + len(arrivals), at, rng).job
                 last = number == len(pipeline.stages) - 1
                 job["due_s"] = pipeline.due_s if last and pipeline.due_s else None
                 if stage.needs:
-                    job["awaits"] = [names[need] for need in stage.needs]
-                names.append(job["uid"])
-                after = float(rng.uniform(1.0, 10.0)) if cancelled and not number else None
-                found.append(Arrival(at, job, after))
-    return found
+                    job["awaits"] = [stage_uids[need] for need in stage.needs]
+                stage_uids.append(job["uid"])
+                cancel_after_s = (
+                    float(rng.uniform(1.0, 10.0)) if cancelled and not number else None
+                )
+                arrivals.append(Arrival(at, job, cancel_after_s))
+    return arrivals
 
 
 def _arrival(
@@ -68,6 +79,7 @@
 ) -> Arrival:
     real_s = table.run_s * math.exp(rng.normal(0.0, table.spread))
     expect_s = real_s * math.exp(rng.normal(0.0, table.estimate_error))
+    # Numbers of tasks are lognormal with a sigma of 0.6 and the class's median.
     units = round(table.tasks * math.exp(rng.normal(0.0, 0.6)))
     owners = [team.name for team in scenario.teams]
     broken = bool(rng.random() < table.broken)
@@ -96,5 +108,6 @@
         "real_s": round(real_s, 3),
         "broken": broken,
     }
-    after = float(rng.uniform(1.0, 30.0)) if cancelled else None
-    return Arrival(at, job, after or (30.0 if broken else None))
+    cancel_after_s = float(rng.uniform(1.0, 30.0)) if cancelled else None
+    # Nothing but its cancellation ends a broken job.
+    return Arrival(at, job, cancel_after_s or (30.0 if broken else None))
