--- a/tests/test_further_meetings.py
+++ b/tests/test_further_meetings.py
@@ -1,7 +1,8 @@
-"""What real machines showed: the later meetings of ``docs/meetings.md``, each brought about.
+"""Further combinations of faults, which occurred on real machines.
 
-As in ``test_meetings.py``: every test asserts that its meeting came about, and a twin takes the
-safeguard out and sees a rule break, or what it guards get worse.
+Each section brings about one of the later combinations of ``docs/meetings.md``. As in
+``test_meetings.py``, a test asserts that the combination came about and that the rules held. A
+second test patches the safeguard out and expects that a rule breaks or a result gets worse.
 """
 
 from __future__ import annotations
@@ -62,35 +63,47 @@
 
 
 async def wait_for_new_leader(world: World, token: int, timeout_s: float = 20.0) -> bool:
-    """Wait until somebody leads with a later token than that."""
+    """Wait until a node leads with a higher token; return whether one did in time."""
     for _ in range(int(timeout_s / 0.05)):
-        box = leader_of(world)
-        if box is not None and box.node and box.node.leader and box.node.leader.token > token:
+        process = leader_of(world)
+        if (
+            process is not None
+            and process.node
+            and process.node.leader
+            and process.node.leader.token > token
+        ):
             return True
         await asyncio.sleep(0.05)
     return False
 
 
 def leader_token(world: World) -> int:
-    box = leader_of(world)
-    return box.node.leader.token if box is not None and box.node and box.node.leader else 0
+    """Return the token of the current leader, 0 if there is none."""
+    process = leader_of(world)
+    return (
+        process.node.leader.token
+        if process is not None and process.node and process.node.leader
+        else 0
+    )
 
 
 async def change_leader(world: World, restart_after_s: float | None = None) -> int:
-    """The leader ends, or only gives way; its token."""
-    box, token = leader_of(world), leader_token(world)
-    if box is not None and box.node is not None and box.node.leader is not None:
+    """Restart the leader or, without a delay, let it step down; return its token."""
+    process, token = leader_of(world), leader_token(world)
+    if process is not None and process.node is not None and process.node.leader is not None:
         if restart_after_s is None:
-            box.node.leader.deposed()
+            process.node.leader.deposed()
         else:
-            world.spawn(box.restart(restart_after_s))
+            world.spawn(process.restart(restart_after_s))
     return token
 
 
-# -- users ask at all nodes within milliseconds after whatever they were told ----------------
+# -- users ask all nodes within milliseconds after each answer -------------------------------
 
 
 class SingleNodeClient:
+    """A ServiceClient that reaches one node only."""
+
     def __init__(self, world: World, name: str) -> None:
         self.world, self.name = world, name
 
@@ -103,56 +116,69 @@
 
 
 def add_consistency_probes(world: World, cancel_share: float) -> ConsistencyProbes:
-    at = [
+    """Let users ask every node about a job right after they learn something new of it.
+
+    ``cancel_share`` of the jobs are cancelled right after their acceptance.
+    """
+    users_by_node = [
         Users(
-            SingleNodeClient(world, box.name),
+            SingleNodeClient(world, process.name),
             world.history,
             world.rng,
             final_phases=world.users.final_phases,
         )
-        for box in world.nodes
+        for process in world.nodes
     ]
-    looks = ConsistencyProbes(
-        world.users, at, world.rng, world.jobs.rows.__getitem__, cancel_share, world.counts
+    probes = ConsistencyProbes(
+        world.users,
+        users_by_node,
+        world.rng,
+        world.jobs.rows.__getitem__,
+        cancel_share,
+        world.counts,
     )
-    world.history.listeners.append(looks.on_event)
-    return looks
+    world.history.listeners.append(probes.on_event)
+    return probes
 
 
 async def consistency_probes(world: World) -> None:
+    """Add the probes and no other fault, and allow less staleness than under other faults."""
     world.max_staleness_s = 0.4
     add_consistency_probes(world, 0.2)
 
 
 @pytest.mark.parametrize("seed", range(400, 403))
-def test_no_node_says_anything_older_than_what_a_user_was_told(seed: int) -> None:
-    met = simulate(seed, consistency_probes, nodes=(3, 5)[seed % 2]).counts
-    assert min(met[f"looks after {s}"] for s in ("accepted", "done", "cancelled")) > 20, met
-    assert met["cancelled at once"] > 2
+def test_no_answer_is_older_than_what_a_user_was_told_by_another_node(seed: int) -> None:
+    observed = simulate(seed, consistency_probes, nodes=(3, 5)[seed % 2]).counts
+    assert min(observed[f"looks after {s}"] for s in ("accepted", "done", "cancelled")) > 20, (
+        observed
+    )
+    assert observed["cancelled at once"] > 2
 
 
-def test_a_proof_of_a_moment_ago_is_older_than_the_answer_of_another_node(
+def test_reusing_a_proof_of_the_last_half_second_breaks_a_rule(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
+    """Such a proof can be older than what another node has told the user meanwhile."""
     barrier = ViewSync.barrier
 
-    async def lately(self: ViewSync, urgent: bool = False) -> None:
+    async def reuse_recent_proof(self: ViewSync, urgent: bool = False) -> None:
         if urgent or asyncio.get_running_loop().time() - self.proved_at > 0.5:
             await barrier(self, urgent)
 
-    monkeypatch.setattr(ViewSync, "barrier", lately)
-    broken = collect_breaches(range(400, 403), consistency_probes)
-    assert any("went_back" in b or "forgotten" in b for b in broken)
+    monkeypatch.setattr(ViewSync, "barrier", reuse_recent_proof)
+    breaches = collect_breaches(range(400, 403), consistency_probes)
+    assert any("went_back" in b or "forgotten" in b for b in breaches)
 
 
-# -- a transaction is carried out at once and only its answer is lost ------------------------
+# -- a transaction is executed at once and only its response is lost -------------------------
 
 
 async def lost_responses(world: World) -> None:
+    """Lose a fifth of the transactions' responses for 60 s, with a change of leader halfway."""
     add_consistency_probes(world, 0.2)
-    world.state.delay_s_by_node = {
-        "n0": 0.15
-    }  # one node hears later of everything than the others
+    # One node learns of every change later than the others.
+    world.state.delay_s_by_node = {"n0": 0.15}
     world.state.lost_response_share = 0.2
     await asyncio.sleep(30.0)
     await change_leader(world, 2.0)
@@ -161,14 +187,15 @@
 
 
 @pytest.mark.parametrize("seed", range(410, 413))
-def test_a_lost_answer_takes_nothing_back_that_others_read(seed: int) -> None:
+def test_a_write_whose_response_was_lost_is_never_taken_back(seed: int) -> None:
+    """Guards against undoing a write that other nodes may already have told users of."""
     world = simulate(seed, lost_responses, nodes=(3, 5)[seed % 2])
     assert world.state.lost_responses > 10 and world.counts["looks after accepted"] > 20
     assert world.checker.starts > 10
 
 
 class UnguardedJobWrites:
-    """Transactions of users' own keys without the condition on them."""
+    """Plants a fault: transactions have no guards on the keys of jobs."""
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch) -> None:
         txn = StateClient.txn
@@ -183,116 +210,134 @@
         monkeypatch.setattr(StateClient, "txn", unguarded)
 
 
-# -- a cancellation, a question or a repetition meets the end of the last task ---------------
+# -- a cancellation, a poll or a resubmission arrives as the last task ends ------------------
 
 
 async def requests_at_job_end(world: World) -> None:
-    """No other trouble: whatever it is, it comes within milliseconds of the end."""
-    looks = add_consistency_probes(world, 0.0)
+    """Cancel, poll or resubmit each job within 0.3 s of the end of its last task.
 
-    def ended(event: Event) -> None:
+    There is no other fault.
+    """
+    probes = add_consistency_probes(world, 0.0)
+
+    def on_event(event: Event) -> None:
         uid = event.data.get("item", "").rpartition("/")[0]
         job = world.checker.jobs.get(uid)
         if event.kind != "completed" or job is None or job.cancel_requested:
             return
         if len(job.completed) < job.row["units"]:
             return
-        what = world.rng.choice(["cancel", "ask", "again"])
-        world.counts[what] += 1
-        if what == "cancel":
-            world.spawn(_shortly_after(world, looks.cancel(uid)))
-        elif what == "ask":
-            for users in looks.users_by_node:
-                world.spawn(_shortly_after(world, users.poll(uid)))
+        request = world.rng.choice(["cancel", "poll", "resubmit"])
+        world.counts[request] += 1
+        if request == "cancel":
+            world.spawn(_after_short_delay(world, probes.cancel(uid)))
+        elif request == "poll":
+            for users in probes.users_by_node:
+                world.spawn(_after_short_delay(world, users.poll(uid)))
         else:
-            for users in looks.users_by_node:
-                world.spawn(_shortly_after(world, users.resubmit(world.jobs.rows[uid])))
+            for users in probes.users_by_node:
+                world.spawn(_after_short_delay(world, users.resubmit(world.jobs.rows[uid])))
 
-    world.history.listeners.append(ended)
+    world.history.listeners.append(on_event)
 
 
-async def _shortly_after(world: World, what: Awaitable[Any]) -> None:
+async def _after_short_delay(world: World, work: Awaitable[Any]) -> None:
     await asyncio.sleep(world.rng.choice([0.0, 0.02, 0.1, 0.3]) * world.rng.random())
-    await what
+    await work
 
 
 @pytest.mark.parametrize("seed", range(420, 423))
-def test_what_meets_the_end_of_the_last_task_gets_one_answer(seed: int) -> None:
-    met = simulate(seed, requests_at_job_end, nodes=(3, 5)[seed % 2]).counts
-    assert min(met["cancel"], met["ask"], met["again"]) > 2, met
+def test_requests_at_the_end_of_the_last_task_get_consistent_answers(seed: int) -> None:
+    observed = simulate(seed, requests_at_job_end, nodes=(3, 5)[seed % 2]).counts
+    assert min(observed["cancel"], observed["poll"], observed["resubmit"]) > 2, observed
 
 
-def test_without_the_job_s_version_an_end_is_taken_back(
+def test_without_guards_on_a_job_s_version_its_end_is_taken_back(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
+    """Then both the cancellation and the completion of a job are accepted."""
     UnguardedJobWrites(monkeypatch)
     assert any("went_back" in b for b in collect_breaches(range(420, 426), requests_at_job_end))
 
 
-# -- odd requests ---------------------------------------------------------------------------
+# -- invalid and repeated requests ----------------------------------------------------------
 
 
 async def unusual_requests(world: World) -> None:
-    asking = UnusualRequests(world.users, world.rng, world.jobs.rows.__getitem__)
+    """Send invalid and repeated requests, while a node is refused and during a short outage."""
+    requests = UnusualRequests(world.users, world.rng, world.jobs.rows.__getitem__)
     world.counts["odd"] = 0
-    world.measured = asking  # type: ignore[assignment]  # read by the test
+    world.measured = requests  # type: ignore[assignment]  # the test reads the responses
     world.spawn(world.state.refuse_node("n1", 12.0))
     while world.now() < BUSY_S + 20.0:
         await asyncio.sleep(world.rng.uniform(0.05, 0.5))
-        await asking.send_requests()
+        await requests.send_requests()
         if 30.0 < world.now() < 31.0:
             world.spawn(world.state.outage(8.0))
 
 
 @pytest.mark.parametrize("seed", range(430, 432))
-def test_odd_requests_get_the_answers_of_the_protocol(seed: int) -> None:
-    """What is refused is refused at every node; what is known stays known, however it is
-    described when it is sent again; a field that is missing is one that counts."""
-    asking: Any = simulate(seed, unusual_requests).measured
+def test_invalid_and_repeated_requests_get_the_statuses_of_the_protocol(seed: int) -> None:
+    """Every node refuses an invalid job, and accepts a known one whatever its new description.
+
+    The field that is missing is always a required one.
+    """
+    requests: Any = simulate(seed, unusual_requests).measured
     allowed = {
         "known": {200}, "over": {200}, "no machine fits": {422}, "unknown team": {422},
         "a field is missing": {400}, "no object": {400}, "no number": {400},
     }  # fmt: skip
-    told: dict[str, Counter[int]] = {}
-    for (odd, status), number in asking.response_counts.items():
-        told.setdefault(odd, Counter())[status] += number
-    assert told.keys() == allowed.keys()
-    for odd, answers in told.items():
-        assert answers.keys() <= allowed[odd] | {0, 503}, (odd, answers)
-        assert sum(answers[status] for status in allowed[odd]) > 3, (odd, answers)
+    counts_by_case: dict[str, Counter[int]] = {}
+    for (case, status), number in requests.response_counts.items():
+        counts_by_case.setdefault(case, Counter())[status] += number
+    assert counts_by_case.keys() == allowed.keys()
+    for case, counts in counts_by_case.items():
+        assert counts.keys() <= allowed[case] | {0, 503}, (case, counts)
+        assert sum(counts[status] for status in allowed[case]) > 3, (case, counts)
 
 
-def test_a_refusal_without_a_proof_forgets_a_job(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A node that has not heard of a job yet took its repetition for a new submission."""
+def test_refusing_a_job_without_a_proof_forgets_an_accepted_one(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    """Guards against taking the resubmission of a job for a new, invalid submission.
+
+    A node that has not learned of the acceptance yet would refuse it.
+    """
 
-    async def at_once(self: JobApi, job: JobId | None, status: int, reason: str) -> Response:
+    async def refuse_at_once(
+        self: JobApi, job: JobId | None, status: int, reason: str
+    ) -> Response:
         return Response(status, user_messages.encode_error(reason))
 
-    monkeypatch.setattr(JobApi, "_refuse", at_once)
+    monkeypatch.setattr(JobApi, "_refuse", refuse_at_once)
 
-    async def odd(world: World) -> None:
-        """Again and again, right after the acceptance, at all nodes, otherwise described."""
+    async def invalid_resubmissions(world: World) -> None:
+        """Resubmit each accepted job to all nodes, with a size that fits no machine."""
 
-        def seen(event: Event) -> None:
+        def on_event(event: Event) -> None:
             if event.kind == "accepted":
                 row = world.jobs.rows[event.data["uid"]]
-                for box in world.nodes:
-                    users_ = Users(SingleNodeClient(world, box.name), world.history, world.rng)
-                    world.spawn(users_.resubmit(row | {"vcpus": 1e6}))
+                for process in world.nodes:
+                    users = Users(
+                        SingleNodeClient(world, process.name), world.history, world.rng
+                    )
+                    world.spawn(users.resubmit(row | {"vcpus": 1e6}))
 
         world.state.delay_s_by_node = {"n1": 0.2}
-        world.history.listeners.append(seen)
+        world.history.listeners.append(on_event)
 
-    assert any("forgotten" in b for b in collect_breaches(range(430, 433), odd))
+    assert any(
+        "forgotten" in b for b in collect_breaches(range(430, 433), invalid_resubmissions)
+    )
     monkeypatch.undo()
-    assert not collect_breaches(range(430, 433), odd)
+    assert not collect_breaches(range(430, 433), invalid_resubmissions)
 
 
-# -- every team at its limit, jobs cancelled on machines that hang or are cut, a new leader --
+# -- teams at their limits, jobs cancelled on silent machines, and a new leader --------------
 
 
 class TightLimits(World):
-    """Little room for each team, and more work than that."""
+    """Each team has a low limit and more work than the limit allows at once."""
 
     def __init__(self, *args: Any, **more: Any) -> None:
         super().__init__(*args, **more)
@@ -308,15 +353,20 @@
 
 
 async def teams_at_limits(world: World) -> None:
+    """Silence two thirds of the busy machines, cancel jobs and change the leader, three times.
+
+    Machines are silenced by a hang or by a cut from all controllers. Counts the teams that use
+    at least three quarters of their limit at that time.
+    """
     for _ in range(3):
         await asyncio.sleep(world.rng.uniform(14.0, 20.0))
-        box = leader_of(world)
-        if box is None:
+        process = leader_of(world)
+        if process is None:
             continue
         busy = [n for n, a in world.cloud.workers.items() if a.worker.tasks]
-        use = world.checker._team_usage
+        usage = world.checker._team_usage
         world.counts["at the limit"] += sum(
-            use.get(team, [0.0])[0] >= 0.75 * most
+            usage.get(team, [0.0])[0] >= 0.75 * most
             for team, most in world.limits.items()
             if most
         )
@@ -339,43 +389,44 @@
 
 
 @pytest.mark.parametrize("seed", range(440, 444))
-def test_no_limit_is_overshot_by_what_silent_machines_still_hold(
+def test_tasks_on_silent_machines_count_against_their_team_s_limit(
     seed: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr("tests.test_rules.World", TightLimits)
     world = simulate(seed, teams_at_limits, nodes=(3, 5)[seed % 2])
     assert world.counts["at the limit"] > 0 and world.counts["cancelled"] > 3, world.counts
     assert world.counts["changes"] > 1
-    # Nor does room never come back: the checker saw nobody left waiting, and work went on.
+    # The room becomes free again: tasks still start, and the checker found no job left waiting.
     assert world.checker.starts > 20
 
 
-def test_cancelled_tasks_taken_for_gone_overshoot_a_limit(
+def test_removing_cancelled_tasks_at_once_exceeds_a_limit(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """As if a stop that was sent were a stop that was carried out."""
-    end = Leader._stop_all_attempts
+    """The patched leader takes a stop command that was sent for one that was executed."""
+    stop_all = Leader._stop_all_attempts
 
-    def gone(self: Leader, job: JobId) -> None:
+    def stop_and_remove(self: Leader, job: JobId) -> None:
         runs = [
             r
             for t in self.ledger.task_zones_by_job.get(job, ())
             for r in self.ledger.runs_by_task[t]
         ]
-        end(self, job)
+        stop_all(self, job)
         for run in runs:
             if run.id in self.ledger.hosts[run.host].runs:
                 self.ledger._remove(self.ledger.hosts[run.host], run)
 
     monkeypatch.setattr("tests.test_rules.World", TightLimits)
-    monkeypatch.setattr(Leader, "_stop_all_attempts", gone)
+    monkeypatch.setattr(Leader, "_stop_all_attempts", stop_and_remove)
     assert any("quota" in b for b in collect_breaches(range(440, 446), teams_at_limits))
 
 
-# -- jobs are cancelled in the seconds in which one controller's work changes hands ----------
+# -- jobs are cancelled while the leader changes ---------------------------------------------
 
 
 async def cancellations_during_handover(world: World) -> None:
+    """Change the leader every few seconds, and cancel jobs in the seconds after each change."""
     while world.now() < BUSY_S:
         await asyncio.sleep(world.rng.uniform(7.0, 12.0))
         token = await change_leader(world, world.rng.choice([None, 0.3, 4.0]))
@@ -388,23 +439,23 @@
 
 
 @pytest.mark.parametrize("seed", range(450, 453))
-def test_what_is_cancelled_as_work_changes_hands_ends(seed: int) -> None:
+def test_tasks_that_are_cancelled_during_a_leader_change_end(seed: int) -> None:
     world = simulate(seed, cancellations_during_handover, nodes=(3, 5)[seed % 2])
     assert world.counts["cancelled"] > 5 and world.counts["changes"] > 3, world.counts
 
 
-def test_a_new_leader_that_does_not_end_the_cancelled_breaks_a_rule(
+def test_a_leader_that_does_not_stop_cancelled_tasks_breaks_a_rule(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     unwanted = Ledger._unwanted
 
-    def wanted(self: Ledger, run: Run) -> bool:
+    def unwanted_unless_cancelled(self: Ledger, run: Run) -> bool:
         record = self.view.jobs.get(run.id.task.job)
         return not (record is not None and record.phase is JobPhase.CANCELLED) and unwanted(
             self, run
         )
 
-    monkeypatch.setattr(Ledger, "_unwanted", wanted)
+    monkeypatch.setattr(Ledger, "_unwanted", unwanted_unless_cancelled)
     monkeypatch.setattr(Leader, "_stop_all_attempts", lambda self, job: None)
     assert any(
         "ran_cancelled" in b
@@ -412,21 +463,25 @@
     )
 
 
-# -- machines up within two seconds get work at once, writes lag, and the leader ends --------
+# -- machines boot within 2 s and get work at once, writes are delayed, and the leader ends --
 
 
 async def instant_boots(world: World) -> None:
+    """Let machines fail and new ones boot at once, delay writes, and restart the leader.
+
+    Counts the tasks that start within 6 s after their machine has come up.
+    """
     world.cloud.cloud.boot_profile = BootProfile(immediate_share=1.0)
     world.state.delayed_txn_share = 0.2
-    up: dict[str, float] = {}
+    up_at: dict[str, float] = {}
 
-    def seen(event: Event) -> None:
+    def on_event(event: Event) -> None:
         if event.kind == "machine" and event.data["what"] == "up":
-            up[event.data["host"]] = event.at
-        if event.kind == "on" and event.at - up.get(event.data["host"], -99.0) < 6.0:
-            world.counts["work at once"] += 1
+            up_at[event.data["host"]] = event.at
+        if event.kind == "on" and event.at - up_at.get(event.data["host"], -99.0) < 6.0:
+            world.counts["starts on new machines"] += 1
 
-    world.history.listeners.append(seen)
+    world.history.listeners.append(on_event)
     while world.now() < BUSY_S:
         await asyncio.sleep(world.rng.uniform(4.0, 9.0))
         await change_leader(world, world.rng.choice([0.3, 4.0]))
@@ -437,33 +492,35 @@
 
 
 @pytest.mark.parametrize("seed", range(460, 463))
-def test_new_machines_get_work_at_once_and_the_leader_ends(seed: int) -> None:
+def test_rules_hold_when_new_machines_get_work_while_the_leader_ends(seed: int) -> None:
     world = simulate(seed, instant_boots, nodes=(3, 5)[seed % 2])
-    assert world.counts["work at once"] > 3 and world.state.delayed_txns.executed > 5, (
-        world.counts
-    )
+    assert (
+        world.counts["starts on new machines"] > 3 and world.state.delayed_txns.executed > 5
+    ), world.counts
 
 
-def test_a_start_that_is_commanded_before_it_is_in_the_log_runs_twice(
+def test_commanding_a_start_before_it_is_in_the_start_log_breaks_a_rule(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
+    """The next leader doesn't learn of such a start from the log, and starts the task again."""
     plan_start = Ledger.plan_start
 
-    def unlogged(self: Ledger, *args: Any) -> Any:
+    def plan_as_logged(self: Ledger, *args: Any) -> Any:
         run = plan_start(self, *args)
         if isinstance(run, Run):
             run.start_logged = True
         return run
 
-    monkeypatch.setattr(Ledger, "plan_start", unlogged)
-    broken = collect_breaches(range(460, 468), instant_boots)
-    assert any("ran_twice" in b or "quota" in b for b in broken)
+    monkeypatch.setattr(Ledger, "plan_start", plan_as_logged)
+    breaches = collect_breaches(range(460, 468), instant_boots)
+    assert any("ran_twice" in b or "quota" in b for b in breaches)
 
 
-# -- an old report reaches every controller as a new leader begins, or once it has acted -----
+# -- old reports reach every controller when a new leader begins, or up to 3 s later ---------
 
 
 async def old_reports_to_new_leader(world: World) -> None:
+    """Keep copies of reports, change the leader, and send the copies to every controller."""
     while world.now() < BUSY_S:
         for agent in world.cloud.workers.values():
             agent.duplicate_share, agent.hold_copies = 0.6, True
@@ -478,17 +535,18 @@
 
 
 @pytest.mark.parametrize("seed", range(470, 473))
-def test_a_report_kept_for_the_next_leader_does_not_speak_of_the_present(seed: int) -> None:
+def test_rules_hold_when_a_new_leader_receives_old_reports(seed: int) -> None:
     world = simulate(seed, old_reports_to_new_leader, nodes=(3, 5)[seed % 2])
     assert world.counts["copies"] > 20 and world.checker.starts > 20
 
 
-def test_a_report_with_an_older_token_taken_for_new_breaks_a_rule(
+def test_accepting_reports_with_an_older_token_breaks_a_rule(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
+    """The patched ledger takes a report to an earlier leader for one to this leader."""
     ingest = Ledger.ingest
 
-    def whatever(
+    def ingest_any_token(
         self: Ledger, report: Report, now: MonotonicTime, direct: bool = False
     ) -> ReportOutcome:
         host = self.hosts.get(report.host)
@@ -497,51 +555,65 @@
             host.session = min(host.session, report.session)
         return ingest(self, replace(report, token=self.token), now, direct)
 
-    monkeypatch.setattr(Ledger, "ingest", whatever)
+    monkeypatch.setattr(Ledger, "ingest", ingest_any_token)
     monkeypatch.setattr(Leader, "_handle_higher_token", lambda self, host, token: None)
-    broken = collect_breaches(range(470, 476), old_reports_to_new_leader)
-    assert any("ran_twice" in b or "quota" in b for b in broken)
+    breaches = collect_breaches(range(470, 476), old_reports_to_new_leader)
+    assert any("ran_twice" in b or "quota" in b for b in breaches)
 
 
-# -- machines that reach no controller, while direct commands reach them ---------------------
+# -- machines whose reports are lost, while direct commands reach them -----------------------
 
 
 async def machines_with_lost_reports(world: World) -> None:
-    def seen(event: Event) -> None:
+    """Lose all reports of half of the machines for 30 s, and change the leader, three times.
+
+    Counts the tasks that start on such a machine later than 12 s after its reports began to
+    be lost.
+    """
+
+    def on_event(event: Event) -> None:
         agent = world.cloud.workers.get(event.data.get("host", ""))
         if event.kind == "on" and agent is not None and agent.reports_lost_until > event.at:
-            since = agent.reports_lost_until - mute[event.data["host"]]
-            world.counts["begun while mute"] += event.at > since + 12.0
+            since = agent.reports_lost_until - loss_s[event.data["host"]]
+            world.counts["starts without reports"] += event.at > since + 12.0
 
-    mute: dict[str, float] = {}
-    world.history.listeners.append(seen)
+    loss_s: dict[str, float] = {}  # machine -> how long its reports are lost
+    world.history.listeners.append(on_event)
     for _ in range(3):
         await asyncio.sleep(12.0)
         for name, agent in world.cloud.workers.items():
             if world.rng.random() < 0.5:
-                mute[name] = 30.0
+                loss_s[name] = 30.0
                 agent.reports_lost_until = world.now() + 30.0
         await asyncio.sleep(world.rng.uniform(0.0, 4.0))
         if world.rng.random() < 0.7:
             await change_leader(world, world.rng.choice([0.3, 4.0]))
         await asyncio.sleep(14.0)
-    world.counts["unsaid"] = sum(a.lost_reports for a in world.cloud.workers.values())
+    world.counts["lost reports"] = sum(a.lost_reports for a in world.cloud.workers.values())
 
 
 @pytest.mark.parametrize("seed", range(480, 483))
-def test_a_mute_machine_gets_no_work_until_it_reports(seed: int) -> None:
-    """From 12 s on: a silence of 6 s, what was commanded before, and its image."""
+def test_a_machine_whose_reports_are_lost_gets_no_work_until_it_reports(seed: int) -> None:
+    """Nothing may start from 12 s of silence on.
+
+    Before that the leader notices the silence (after 6 s), and starts that were commanded
+    earlier still fetch their images.
+    """
     world = simulate(seed, machines_with_lost_reports, nodes=(3, 5)[seed % 2])
-    assert world.counts["unsaid"] > 10 and world.checker.starts > 20
-    assert world.counts["begun while mute"] == 0
+    assert world.counts["lost reports"] > 10 and world.checker.starts > 20
+    assert world.counts["starts without reports"] == 0
 
 
-def test_a_mute_machine_taken_for_a_good_one_loses_work_again_and_again(
+def test_taking_direct_responses_for_reports_starts_tasks_that_will_be_lost(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
+    """A direct call renews no lease, so the tasks on such a machine end with its lease.
+
+    The patched ledger counts the response to a direct call as a report.
+    """
     ingest = Ledger.ingest
 
-    def hears(
+    def ingest_as_report(
         self: Ledger, report: Report, now: MonotonicTime, direct: bool = False
     ) -> ReportOutcome:
         outcome = ingest(self, report, now, direct)
@@ -550,18 +622,20 @@
             host.is_reporting, host.reported_at = True, now
         return outcome
 
-    monkeypatch.setattr(Ledger, "ingest", hears)
-    begun = [
-        simulate(seed, machines_with_lost_reports).counts["begun while mute"]
+    monkeypatch.setattr(Ledger, "ingest", ingest_as_report)
+    starts = [
+        simulate(seed, machines_with_lost_reports).counts["starts without reports"]
         for seed in range(480, 486)
     ]
-    assert sum(begun) > 0
+    assert sum(starts) > 0
 
 
-# -- jobs bound to one zone, arrays too, lose machines ---------------------------------------
+# -- jobs bound to one zone, arrays included, lose machines ----------------------------------
 
 
 class ZoneBoundJobs(World):
+    """Jobs must run in one zone: in any one, or in the zone north."""
+
     def make_job(self, number: int) -> dict[str, Any]:
         job = super().make_job(number)
         if job["shape"] != "standing":
@@ -572,11 +646,15 @@
 
 
 async def machine_losses_per_zone(world: World) -> None:
+    """Let most machines of a random zone fail every few seconds; change the leader at times.
+
+    Counts the tasks that are lost.
+    """
     while world.now() < BUSY_S:
         await asyncio.sleep(world.rng.uniform(5.0, 9.0))
-        hall = world.rng.choice(world_module.ZONES)
+        lost_zone = world.rng.choice(world_module.ZONES)
         for name, agent in list(world.cloud.workers.items()):
-            if agent.worker.machine.zone == hall and world.rng.random() < 0.7:
+            if agent.worker.machine.zone == lost_zone and world.rng.random() < 0.7:
                 tasks = agent.worker.tasks.values()
                 world.counts["lost"] += sum(t.on_machine for t in tasks)
                 world.cloud.remove_host(name, failed=True)
@@ -585,14 +663,16 @@
 
 
 @pytest.mark.parametrize("seed", range(490, 493))
-def test_jobs_bound_to_a_zone_lose_machines(seed: int, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_rules_hold_when_jobs_bound_to_a_zone_lose_machines(
+    seed: int, monkeypatch: pytest.MonkeyPatch
+) -> None:
     monkeypatch.setattr("tests.test_rules.World", ZoneBoundJobs)
     world = simulate(seed, machine_losses_per_zone, nodes=(3, 5)[seed % 2])
     assert world.counts["lost"] > 5 and world.checker.starts > 20
     assert sum(phase == "done" for phase in world.final_phases.values()) > 5
 
 
-def test_without_knowing_where_the_others_are_a_zone_is_missed(
+def test_ignoring_the_zones_of_a_job_s_other_tasks_breaks_a_rule(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr("tests.test_rules.World", ZoneBoundJobs)
@@ -606,6 +686,10 @@
 
 
 async def frequent_leader_changes(world: World) -> None:
+    """Change the leader every 4 to 7 s, and let the state service fail for 14 s meanwhile.
+
+    Counts the terms that began.
+    """
     first = leader_token(world)
     world.spawn(_outage_at(world, world.rng.uniform(30.0, 50.0)))
     while world.now() < 110.0:
@@ -623,13 +707,13 @@
 
 
 @pytest.mark.parametrize("seed", range(500, 503))
-def test_ten_changes_of_leader_in_two_minutes(seed: int) -> None:
+def test_rules_hold_during_ten_leader_changes_in_two_minutes(seed: int) -> None:
     world = simulate(seed, frequent_leader_changes, nodes=(3, 5)[seed % 2])
     assert world.counts["changes"] >= 10 and world.counts["inside an outage"] > 0, world.counts
     assert world.checker.starts > 20
 
 
-def test_a_leader_that_reads_no_log_of_starts_runs_tasks_twice(
+def test_a_leader_that_ignores_the_start_log_runs_tasks_twice(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(UnreconciledHosts, "may_run", lambda self, task: False)
@@ -638,48 +722,52 @@
     )
 
 
-# -- all controllers are away for longer than a lease ----------------------------------------
+# -- all controllers are down for longer than a worker's lease -------------------------------
 
 
 async def all_controllers_down(world: World) -> None:
+    """Crash all controllers for longer than a worker's lease, twice.
+
+    Counts the tasks on machines before, and those that were killed by then.
+    """
     for _ in range(2):
         await asyncio.sleep(world.rng.uniform(18.0, 24.0))
-        on = sum(
+        task_count = sum(
             t.on_machine for a in world.cloud.workers.values() for t in a.worker.tasks.values()
         )
-        before, away = world.killed_tasks, world.rng.uniform(1.1, 1.8) * world_module.LEASE_S
-        for box in world.nodes:
-            world.spawn(box.restart(away + world.rng.uniform(0.0, 2.0)))
-        await asyncio.sleep(away)
-        world.counts["on machines"] += on
+        before, down_s = world.killed_tasks, world.rng.uniform(1.1, 1.8) * world_module.LEASE_S
+        for process in world.nodes:
+            world.spawn(process.restart(down_s + world.rng.uniform(0.0, 2.0)))
+        await asyncio.sleep(down_s)
+        world.counts["on machines"] += task_count
         world.counts["killed"] += world.killed_tasks - before
 
 
 @pytest.mark.parametrize("seed", range(510, 513))
-def test_all_controllers_are_away_for_longer_than_a_lease(seed: int) -> None:
-    """Whatever ran is over by itself, and is begun again; nothing that was told is lost."""
+def test_rules_hold_when_all_controllers_are_down_for_longer_than_a_lease(seed: int) -> None:
+    """Workers kill their tasks by themselves, tasks start again, and no job is forgotten."""
     world = simulate(seed, all_controllers_down, nodes=(3, 5)[seed % 2])
     assert world.counts["killed"] > 2, world.counts
     assert sum(phase == "done" for phase in world.final_phases.values()) > 5
 
 
-# -- more work than room, urgent and not, over slow links ------------------------------------
+# -- more work than room, of all priorities, over slow links ---------------------------------
 
 
 class OverloadOnSlowLinks(World):
-    """Three times the work, and a way of half a second to every machine."""
+    """Three times the usual work, and 0.2 to 0.9 s more latency from and to every machine."""
 
     async def arrivals(self, until: float) -> None:
         for first in (0, 100_000, 200_000):
             self.spawn(self._stream(first, until))
-        pass_ = self.network.deliver
+        original_deliver = self.network.deliver
 
-        async def slowly(a: str, b: str) -> None:
+        async def deliver_slowly(a: str, b: str) -> None:
             if a.startswith("m-") or b.startswith("m-"):
                 await asyncio.sleep(self.rng.uniform(0.2, 0.9))
-            await pass_(a, b)
+            await original_deliver(a, b)
 
-        self.network.deliver = slowly  # type: ignore[method-assign]
+        self.network.deliver = deliver_slowly  # type: ignore[method-assign]
 
     async def _stream(self, number: int, until: float) -> None:
         while self.now() < until:
@@ -692,16 +780,17 @@
 
 
 async def measure_overload(world: World) -> None:
+    """Add up the CPUs that are waited for, and change the leader, every 15 to 25 s."""
     while world.now() < BUSY_S:
         await asyncio.sleep(world.rng.uniform(15.0, 25.0))
-        box = leader_of(world)
-        if box is not None and box.node is not None and box.node.leader is not None:
-            world.counts["waiting"] += int(box.node.leader._waiting_cpus())
+        process = leader_of(world)
+        if process is not None and process.node is not None and process.node.leader is not None:
+            world.counts["waiting"] += int(process.node.leader._waiting_cpus())
         await change_leader(world, world.rng.choice([None, 4.0]))
 
 
 @pytest.mark.parametrize("seed", range(520, 522))
-def test_more_work_than_room_over_slow_links(
+def test_rules_hold_under_overload_over_slow_links(
     seed: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr("tests.test_rules.World", OverloadOnSlowLinks)
@@ -709,26 +798,27 @@
     assert world.counts["waiting"] > 50 and world.checker.starts > 40, world.counts
 
 
-def test_over_slow_links_a_start_given_up_with_its_call_breaks_a_rule(
+def test_withdrawing_unanswered_starts_over_slow_links_breaks_a_rule(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     withdraw_unanswered_starts(monkeypatch)
     monkeypatch.setattr("dunehold.coordination.term.delivery.TIMEOUT_S", 1.0)
     monkeypatch.setattr("tests.test_rules.World", OverloadOnSlowLinks)
-    broken = collect_breaches(range(520, 524), measure_overload)
-    assert any("ran_twice" in b or "quota" in b for b in broken)
+    breaches = collect_breaches(range(520, 524), measure_overload)
+    assert any("ran_twice" in b or "quota" in b for b in breaches)
 
 
-# -- one-task jobs come four a second, a quarter of them cancelled ---------------------------
+# -- four one-task jobs arrive per second, and a quarter of them is cancelled ----------------
 
 
 class ManySmallJobs(World):
-    """Little of the state service's rate, as where many controllers share it."""
+    """Many small jobs and a low write rate, as if many controllers shared the state service."""
 
     def settings(self, index: int) -> Settings:
-        few = super().settings(index)
-        own_keys = replace(few.operator, pack_submissions=0)  # a change each: no way round it
-        return replace(few, state_write_rps=6.0, operator=own_keys)
+        base = super().settings(index)
+        # Without batches every submission and cancellation is a write of its own.
+        operator_settings = replace(base.operator, pack_submissions=0)
+        return replace(base, state_write_rps=6.0, operator=operator_settings)
 
     async def arrivals(self, until: float) -> None:
         number = 0
@@ -739,10 +829,11 @@
                 "real_s": self.rng.uniform(1.0, 6.0), "together": False, "spread": False,
             }  # fmt: skip
             self.jobs.upload(job)
-            self.spawn(self._live(job))
+            self.spawn(self._submit_and_cancel(job))
             await asyncio.sleep(self.rng.expovariate(4.0))
 
-    async def _live(self, job: dict[str, Any]) -> None:
+    async def _submit_and_cancel(self, job: dict[str, Any]) -> None:
+        """Submit a job; cancel it with a probability of 0.25 and measure the time taken."""
         uid, cancelled = job["uid"], self.rng.random() < 0.25
         self.spawn(self.users.run_job(job, None))
         while cancelled and uid not in self.users.accepted:
@@ -755,32 +846,40 @@
         while (answer := await self.users.cancel(uid)).status != 200:
             await asyncio.sleep(max(1.0, answer.retry_after_s))
         self.counts["cancellations"] += 1
-        self.waited += self.now() - asked
+        self.measured += self.now() - asked
 
 
 async def one_leader_change(world: World) -> None:
+    """Crash the leader once, for 4 s."""
     await asyncio.sleep(40.0)
     await change_leader(world, 4.0)
 
 
-def test_a_cancellation_waits_behind_no_submission(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_cancellations_don_t_wait_behind_submissions(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Guards against cancellations that queue behind submissions for the limited write rate.
+
+    The mean time to a confirmation is compared with that under the lowest priority.
+    """
     monkeypatch.setattr("tests.test_rules.World", ManySmallJobs)
     worlds = [simulate(seed, one_leader_change) for seed in range(530, 532)]
-    asked = sum(world.counts["cancellations"] for world in worlds)
-    assert asked > 100
-    first = sum(world.measured for world in worlds) / asked
+    cancellations = sum(world.counts["cancellations"] for world in worlds)
+    assert cancellations > 100
+    mean_s = sum(world.measured for world in worlds) / cancellations
     monkeypatch.setattr(RequestPriority, "CANCEL", RequestPriority.BULK)
     worlds = [simulate(seed, one_leader_change) for seed in range(530, 532)]
-    asked = sum(world.counts["cancellations"] for world in worlds)
-    assert first < 0.6 * sum(world.measured for world in worlds) / asked
-    assert first < 1.0
+    cancellations = sum(world.counts["cancellations"] for world in worlds)
+    assert mean_s < 0.6 * sum(world.measured for world in worlds) / cancellations
+    assert mean_s < 1.0
 
 
-# -- a barrier that finds the listing done by somebody else ----------------------------------
+# -- a barrier while another activity loads the view -----------------------------------------
 
 
 class SlowStateClient:
-    """A state service whose listing and changes each take a while; keys come meanwhile."""
+    """A state service whose listings and changes take 0.1 s; keys may be added meanwhile.
+
+    It is its own rate limiter, without a limit.
+    """
 
     def __init__(self) -> None:
         self.rows: list[str] = []
@@ -807,16 +906,19 @@
         ], len(now)
 
 
-def test_a_barrier_needs_a_proof_that_was_sent_after_its_question() -> None:
-    """A node that starts: the watch lists, and while the answer of its last question is on its
-    way a job is accepted elsewhere. Who asked here after that was told 404."""
+def test_a_barrier_needs_a_proof_that_was_sent_after_it_was_called() -> None:
+    """Guards against a 404 for an accepted job at a node that is starting.
+
+    While the watch loads the view and waits for its last response, another node accepts a job.
+    A barrier that is called after that must not be satisfied by that response.
+    """
 
     async def start() -> bool:
         state: Any = SlowStateClient()
         view = View()
         sync = ViewSync(state, view, lambda jobs: None, Duration(0.0), Duration(0.1))
         watch = asyncio.create_task(sync.watch())
-        await asyncio.sleep(0.15)  # its listing is done, its changes are under way
+        await asyncio.sleep(0.15)  # the listing has arrived, the changes have not
         state.rows.append("job-000001")
         await sync.barrier()
         watch.cancel()
@@ -826,12 +928,15 @@
 
 
 def test_nothing_is_awaited_between_the_proof_and_the_answer() -> None:
-    """The counts of running tasks were asked for in between, and took up to a second; what
-    another node had told the user by then was taken back."""
+    """Guards against an answer that is older than what another node has told the user.
+
+    Asking for the counts of running tasks can take up to a second. If that happened after the
+    proof, the proof would be too old by the time of the answer.
+    """
 
     spec = user_messages.decode_job_object(JOB)
 
-    async def ask() -> bytes:
+    async def get_job() -> bytes:
         view, sync = View(loaded=True), Any
 
         def put(phase: JobPhase, revision: int) -> None:
@@ -840,7 +945,7 @@
             change = Change(key, orjson.loads(orjson.dumps(value)), Revision(revision), False)
             view.apply([change], Revision(revision))
 
-        class Proved:
+        class ProvedSync:
             def failing(self) -> bool:
                 return False
 
@@ -849,46 +954,50 @@
 
         async def running(job: JobId) -> int:
             await asyncio.sleep(0.05)
-            put(JobPhase.CANCELLED, 2)  # confirmed by another node, as the watch tells
+            put(JobPhase.CANCELLED, 2)  # another node's cancellation arrives by the watch
             return 1
 
         put(JobPhase.ACTIVE, 1)
-        sync = Proved()
-        nothing: Any = None
-        intake = JobApi(
-            nothing,
-            nothing,
+        sync = ProvedSync()
+        unused: Any = None
+        job_api = JobApi(
+            unused,
+            unused,
             view,
             sync,
             lambda: {},
             running,
             lambda: 1.0,
-            nothing,  # type: ignore[arg-type]
+            unused,  # type: ignore[arg-type]
         )
-        answer = await intake.handle(Request("GET", f"/v1/jobs/{spec.id}", {}, b""))
+        answer = await job_api.handle(Request("GET", f"/v1/jobs/{spec.id}", {}, b""))
         assert answer is not None
         return answer.body
 
-    assert b"cancelled" in asyncio.run(ask())
+    assert b"cancelled" in asyncio.run(get_job())
 
 
-# -- the state service answers slowly, then refuses the leader, then everybody ---------------
+# -- the state service is slow, then refuses the leader, then every node ---------------------
 
 
 async def slow_then_unavailable(world: World) -> None:
-    """Users cancel and ask all the while; it is out for longer than ``cancel_s``."""
+    """Slow the state service down, let it refuse the leader, then all for over ``cancel_s``.
+
+    Users cancel and ask all the while. Counts the answers while the state service is slow, and
+    the cancellations that other nodes confirm while it refuses the leader.
+    """
     add_consistency_probes(world, 0.1)
     await asyncio.sleep(20.0)
     world.state.delay_s = 0.4
     before = world.counts["looks after accepted"]
     await asyncio.sleep(10.0)
-    world.counts["looks meanwhile"] = world.counts["looks after accepted"] - before
+    world.counts["looks while slow"] = world.counts["looks after accepted"] - before
     nodes = [n for n in world.nodes if n.node is not None]
-    box = leader_of(world)
-    if box is not None:
-        world.spawn(world.state.refuse_node(box.name, 14.0))
-        nodes = [n for n in nodes if n is not box]
-    world.state.delay_s = 0.15  # within the lease of the leader: no other leads yet
+    process = leader_of(world)
+    if process is not None:
+        world.spawn(world.state.refuse_node(process.name, 14.0))
+        nodes = [n for n in nodes if n is not process]
+    world.state.delay_s = 0.15  # within the leader's lease, so no other node leads yet
     world.counts["cancelled"] += await cancel_through(world, nodes, 6)
     world.state.delay_s = 0.0
     await asyncio.sleep(world.rng.uniform(0.1, 0.4))
@@ -896,15 +1005,15 @@
 
 
 @pytest.mark.parametrize("seed", range(550, 553))
-def test_a_slow_state_service_that_goes_away_keeps_nothing_cancelled(
+def test_cancelled_tasks_end_when_a_slow_state_service_becomes_unavailable(
     seed: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr("tests.test_rules.World", LongTasks)
-    met = simulate(seed, slow_then_unavailable, nodes=(3, 5)[seed % 2]).counts
-    assert met["cancelled"] > 1 and met["looks meanwhile"] > 3, met
+    observed = simulate(seed, slow_then_unavailable, nodes=(3, 5)[seed % 2]).counts
+    assert observed["cancelled"] > 1 and observed["looks while slow"] > 3, observed
 
 
-def test_who_feeds_on_through_a_slow_state_service_breaks_a_rule(
+def test_renewing_leases_while_the_state_service_is_unavailable_breaks_a_rule(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr("tests.test_rules.World", LongTasks)
@@ -915,12 +1024,14 @@
     )
 
 
-# -- a leader ends while machines with long tasks can't be reached ---------------------------
+# -- the leader ends while machines with long tasks can't be reached -------------------------
 
 
 async def unreachable_long_tasks(world: World) -> None:
-    """Half of the machines are cut from every controller, and within a second the leader ends:
-    the next one can't ask them, and what runs there goes on for most of a lease."""
+    """Cut half of the busy machines from all controllers; the leader ends within 1 s, 3 times.
+
+    The next leader can't ask these machines, and their tasks run on for most of a lease.
+    """
     for _ in range(3):
         await asyncio.sleep(world.rng.uniform(14.0, 20.0))
         names = [n for n, a in world.cloud.workers.items() if a.worker.tasks]
@@ -929,8 +1040,8 @@
             world.counts["long tasks"] += sum(t.on_machine for t in tasks)
             seconds = world.rng.uniform(4.0, 25.0)
             for node in world.nodes:
-                for life in range(6):
-                    source = node.name if not life else f"{node.name}#{life}"
+                for number in range(6):
+                    source = node.name if not number else f"{node.name}#{number}"
                     world.spawn(world.network.cut_for(name, source, "hold", seconds))
         await asyncio.sleep(world.rng.uniform(0.0, 1.0))
         token = await change_leader(world, world.rng.choice([0.3, 4.0]))
@@ -938,7 +1049,7 @@
 
 
 @pytest.mark.parametrize("seed", range(560, 563))
-def test_a_leader_ends_while_machines_with_long_tasks_are_unreached(
+def test_rules_hold_when_the_leader_ends_while_long_tasks_are_unreachable(
     seed: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr("tests.test_rules.World", LongTasks)
@@ -946,9 +1057,10 @@
     assert world.counts["long tasks"] > 3 and world.counts["changes"] > 1, world.counts
 
 
-def test_long_tasks_that_the_log_alone_knows_of_run_twice_without_it(
+def test_unreachable_long_tasks_run_twice_without_the_start_log(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
+    """The start log is the new leader's only source for the tasks on these machines."""
     monkeypatch.setattr("tests.test_rules.World", LongTasks)
     monkeypatch.setattr(UnreconciledHosts, "may_run", lambda self, task: False)
     assert any(
@@ -956,7 +1068,7 @@
     )
 
 
-# -- drawn at random ------------------------------------------------------------------------
+# -- random combinations --------------------------------------------------------------------
 
 FURTHER_COMBINATIONS: list[Faults] = [
     consistency_probes,
@@ -975,7 +1087,7 @@
 
 
 @pytest.mark.parametrize("seed", range(540, 546))
-def test_rules_hold_when_further_meetings_meet(seed: int) -> None:
+def test_rules_hold_under_random_further_combinations(seed: int) -> None:
     assert (
         simulate(
             seed, random_faults(3, FURTHER_COMBINATIONS), nodes=(3, 5, 7)[seed % 3]
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -46,7 +46,10 @@
 
 
 async def late_writes(world: World) -> None:
-    """Delay a quarter of the transactions during crashes, with pauses of 5 s between."""
+    """Execute a quarter of the transactions late and without a response, during crashes.
+
+    After every 20 s of this there are 5 s without delayed transactions.
+    """
     world.spawn(crashes(world))
     while True:
         world.state.delayed_txn_share = 0.25
@@ -128,10 +131,10 @@
 def test_expiring_worker_leases_right_after_the_takeover_breaks_a_rule(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """A leader that expires the leases of machines not heard yet too early runs tasks twice.
+    """A leader that expires the leases of machines too early starts their tasks twice.
 
-    The patched ledger does so 2 s after the takeover, though the leader before may have renewed
-    these leases shortly before.
+    The patched ledger expires the leases of machines that have not reported to this leader 2 s
+    after its takeover, though the leader before may have renewed them until then.
     """
 
     def expires_early(self: Ledger, host: object, now: float) -> bool:
@@ -370,8 +373,9 @@
 def test_a_fencing_token_that_is_not_increased_leads_to_reuse(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """A new leader with its predecessor's token accepts reports that were meant for that one,
-    and reuses attempts and rental names.
+    """A new leader with its predecessor's token reuses attempts and rental names.
+
+    It also accepts late reports that were meant for its predecessor.
     """
     begin = Node._begin_term
 
--- a/tests/test_store_model.py
+++ b/tests/test_store_model.py
@@ -1,4 +1,4 @@
-"""The state service's model: what the protocol says of it, and a plain reference beside it."""
+"""The state service's model follows the protocol and agrees with a simple reference."""
 
 from __future__ import annotations
 
@@ -25,6 +25,7 @@
 def ask(
     store: Store, method: str, target: str, body: Any = None, now: float = 0.0, who: str = "n"
 ) -> tuple[int, dict[str, Any]]:
+    """Send a request that needs no waiting; return the status and the decoded body."""
     data = None if body is None else orjson.dumps(body)
     answer = store.handle(method, target, data, who, now)
     assert isinstance(answer, Reply)
@@ -32,21 +33,22 @@
 
 
 def put(store: Store, key: str, value: Any = 1, now: float = 0.0, **more: Any) -> int:
+    """Write one key in a transaction; return the status."""
     row = {"guards": [], "writes": [{"put": key, "v": value, **more}]}
     return ask(store, "POST", "/txn", row, now)[0]
 
 
 class AgainstReference(RuleBasedStateMachine):
-    """Random transactions, leases and reads, beside dicts that do the obvious."""
+    """Random transactions, leases and reads, compared with a reference made of dicts."""
 
     def __init__(self) -> None:
         super().__init__()
         self.store = Store()
         self.now = 0.0
-        self.rows: dict[str, tuple[int, int, int | None]] = {}
+        self.rows: dict[str, tuple[int, int, int | None]] = {}  # key -> value, version, lease
         self.revision = 0
-        self.leases: dict[int, tuple[float, float]] = {}
-        self.rebuilt: dict[str, int] = {}  # rebuilt from changes alone
+        self.leases: dict[int, tuple[float, float]] = {}  # lease -> duration, expiry in s
+        self.rebuilt: dict[str, int] = {}  # key -> value, rebuilt from /changes alone
         self.seen_revision = 0
 
     def _expire(self) -> None:
@@ -150,7 +152,7 @@
     max_examples=60,
     stateful_step_count=30,
     deadline=None,
-    derandomize=True,  # the same verdict each time
+    derandomize=True,  # every run draws the same examples
     suppress_health_check=list(HealthCheck),
 )
 
@@ -177,7 +179,7 @@
     assert store.revision == 0
 
 
-def test_an_expired_lease_is_told_whatever_the_conditions() -> None:
+def test_an_unknown_lease_is_reported_even_if_a_guard_fails() -> None:
     row = {
         "guards": [{"path": "k", "stamp": 7}],
         "writes": [{"put": "k", "v": 1, "grant": 3}],
@@ -185,7 +187,7 @@
     assert ask(Store(), "POST", "/txn", row) == (400, {"error": "no such lease"})
 
 
-def test_rates_allow_a_second_at_once_and_count_failed_writes() -> None:
+def test_rate_limits_allow_a_burst_of_one_second_and_count_failed_writes() -> None:
     store = Store(Limits(rps=5.0, write_rps=3.0))
     failing = {"guards": [{"path": "k", "stamp": 4}], "writes": [{"drop": "k"}]}
     assert [ask(store, "POST", "/txn", failing)[0] for _ in range(4)] == [409, 409, 409, 429]
@@ -194,7 +196,7 @@
     assert ask(store, "GET", "/store/k", now=1.0)[0] == 404
 
 
-def test_an_outage_answers_503_ends_no_lease_and_gives_them_their_full_time() -> None:
+def test_leases_don_t_expire_in_an_outage_and_get_their_full_duration_after_it() -> None:
     store = Store()
     _, row = ask(store, "POST", "/leases", {"life_ms": 1000})
     put(store, "k", grant=row["grant"])
@@ -205,7 +207,7 @@
     assert ask(store, "GET", "/store/k", now=51.1)[0] == 404
 
 
-def test_one_node_alone_can_be_refused_while_its_lease_runs_out() -> None:
+def test_the_lease_of_a_node_that_alone_is_refused_expires() -> None:
     store = Store()
     _, row = ask(store, "POST", "/leases", {"life_ms": 1000}, who="n0")
     put(store, "k", grant=row["grant"])
@@ -214,7 +216,7 @@
     assert ask(store, "GET", "/store/k", None, 1.5, "n1")[0] == 404
 
 
-def test_watches_wait_and_say_when_they_are_too_old() -> None:
+def test_watches_wait_for_changes_and_get_410_for_compacted_revisions() -> None:
     store = Store()
     put(store, "a/1")
     watch = store.handle("GET", "/changes?starts=b/&after=0&hold_ms=500", None, "n", 0.0)
@@ -231,7 +233,7 @@
 
 
 def test_open_watches_stay_open_in_an_outage_and_for_a_node_that_is_refused() -> None:
-    async def play(begin: str) -> float:
+    async def watch_through(fault: str) -> float:
         store = Store()
         agent = StateAgent(store)
         loop = asyncio.get_running_loop()
@@ -239,7 +241,7 @@
             agent.handle("GET", "/changes?starts=k&after=0&hold_ms=100", None, "n0")
         )
         await asyncio.sleep(0.02)
-        if begin == "outage":
+        if fault == "outage":
             store.begin_outage()
         else:
             store.refused_sources.add("n0")
@@ -254,11 +256,11 @@
         assert answer.status == 200
         return loop.time() - began
 
-    for begin in ("outage", "refusal"):
-        assert asyncio.run(play(begin)) >= 0.4
+    for fault in ("outage", "refusal"):
+        assert asyncio.run(watch_through(fault)) >= 0.4
 
 
-def test_pages_are_ordered_and_bounded() -> None:
+def test_pages_of_a_listing_are_ordered_and_bounded() -> None:
     store = Store()
     for n in range(30):
         put(store, f"p/{n:02d}", "x" * 100)
@@ -274,31 +276,33 @@
     assert len(orjson.dumps(row["entries"])) <= 512 * 1024
 
 
-def test_a_cold_start_keeps_everything_and_gives_leases_their_full_time(tmp_path: Path) -> None:
-    keeper = DiskStorage(tmp_path / "s", 1 << 20)
-    store = Store(storage=keeper)
+def test_a_restart_keeps_all_data_and_gives_leases_their_full_duration(tmp_path: Path) -> None:
+    disk = DiskStorage(tmp_path / "s", 1 << 20)
+    store = Store(storage=disk)
     _, row = ask(store, "POST", "/leases", {"life_ms": 1000})
     put(store, "held", {"x": 1}, grant=row["grant"])
     put(store, "kept", [1, 2])
     put(store, "gone")
     ask(store, "POST", "/txn", {"writes": [{"drop": "gone"}]})
-    keeper.close()
-    cold = Store(storage=(reopened := DiskStorage(tmp_path / "s", 1 << 20)))
-    reopened.restore(cold, 100.0)
-    assert cold.revision == store.revision
-    assert ask(cold, "GET", "/store/kept", None, 100.0)[1]["v"] == [1, 2]
-    assert ask(cold, "GET", "/store/gone", None, 100.0)[0] == 404
-    assert ask(cold, "GET", "/store/held", None, 100.9)[0] == 200
-    assert ask(cold, "GET", "/store/held", None, 101.1)[0] == 404
-    # Grants are never given out twice, and what came before is told to be too old.
-    assert ask(cold, "POST", "/leases", {"life_ms": 1000}, 101.2)[1]["grant"] > row["grant"]
-    assert ask(cold, "GET", "/changes?starts=&after=0", None, 101.2)[0] == 410
+    disk.close()
+    restarted = Store(storage=(reopened := DiskStorage(tmp_path / "s", 1 << 20)))
+    reopened.restore(restarted, 100.0)
+    assert restarted.revision == store.revision
+    assert ask(restarted, "GET", "/store/kept", None, 100.0)[1]["v"] == [1, 2]
+    assert ask(restarted, "GET", "/store/gone", None, 100.0)[0] == 404
+    assert ask(restarted, "GET", "/store/held", None, 100.9)[0] == 200
+    assert ask(restarted, "GET", "/store/held", None, 101.1)[0] == 404
+    # A lease's number is never reused, and changes before the restart are not available.
+    assert (
+        ask(restarted, "POST", "/leases", {"life_ms": 1000}, 101.2)[1]["grant"] > row["grant"]
+    )
+    assert ask(restarted, "GET", "/changes?starts=&after=0", None, 101.2)[0] == 410
     reopened.close()
 
 
-def test_a_full_disk_is_a_clear_error_and_loses_nothing(tmp_path: Path) -> None:
-    keeper = DiskStorage(tmp_path / "s", 128 * 1024)
-    store = Store(storage=keeper)
+def test_a_full_disk_gives_a_clear_error_and_loses_no_data(tmp_path: Path) -> None:
+    disk = DiskStorage(tmp_path / "s", 128 * 1024)
+    store = Store(storage=disk)
     n = 0
     while put(store, f"k{n}", "x" * 3000) == 200:
         n += 1
@@ -306,11 +310,11 @@
     row = {"writes": [{"put": "more", "v": "x" * 3000}]}
     status, answer = ask(store, "POST", "/txn", row)
     assert (status, answer["error"]) == (503, "no space left on the device")
-    keeper.close()
-    cold = Store(storage=(reopened := DiskStorage(tmp_path / "s", 1 << 20)))
-    reopened.restore(cold, 0.0)
-    assert sorted(cold.rows) == sorted(f"k{i}" for i in range(n))
-    assert cold.revision == store.revision == n
+    disk.close()
+    restarted = Store(storage=(reopened := DiskStorage(tmp_path / "s", 1 << 20)))
+    reopened.restore(restarted, 0.0)
+    assert sorted(restarted.rows) == sorted(f"k{i}" for i in range(n))
+    assert restarted.revision == store.revision == n
     reopened.close()
 
 
@@ -319,20 +323,20 @@
 from pathlib import Path
 from dunehold.emulator.disk_storage import DiskStorage
 from dunehold.emulator.model.store import Row
-keeper = DiskStorage(Path(sys.argv[1]))
+disk = DiskStorage(Path(sys.argv[1]))
 for n in range(1, 6):
-    keeper.commit(n, {f"k{n}": Row(b"1", n, None), "all": Row(b"%d" % n, n, None)}, {})
+    disk.commit(n, {f"k{n}": Row(b"1", n, None), "all": Row(b"%d" % n, n, None)}, {})
 os.kill(os.getpid(), 9)
 """
 
 
-def test_what_was_committed_outlives_a_kill(tmp_path: Path) -> None:
-    done = subprocess.run(
+def test_committed_data_survives_a_kill(tmp_path: Path) -> None:
+    result = subprocess.run(
         [sys.executable, "-c", KILLED_WRITER_SCRIPT, str(tmp_path / "s")],
         cwd=Path(__file__).parent.parent,
     )
-    assert done.returncode == -9
-    store = Store(storage=(keeper := DiskStorage(tmp_path / "s")))
-    keeper.restore(store, 0.0)
+    assert result.returncode == -9
+    store = Store(storage=(disk := DiskStorage(tmp_path / "s")))
+    disk.restore(store, 0.0)
     assert (store.revision, store.rows["all"].value) == (5, b"5")
-    keeper.close()
+    disk.close()
