--- a/dunehold/coordination/election/connectivity.py
+++ b/dunehold/coordination/election/connectivity.py
@@ -22,6 +22,7 @@
 
 # Maximum number of connections to each peer.
 PEER_CONNECTIONS = 2
+# Time within which a peer must answer.
 PEER_TIMEOUT_S = 0.3
 # Time between two comparisons with the peers. The state service must also have failed for this
 # long before the peers are asked.
--- a/dunehold/coordination/planning/estimates.py
+++ b/dunehold/coordination/planning/estimates.py
@@ -9,10 +9,10 @@
 from dunehold.protocol.users import JobSpec
 from dunehold.types import Duration
 
-MAX_RATIOS_PER_CLASS = 60  # recent runs that are remembered
+MAX_RATIOS_PER_CLASS = 60  # recent runs that are remembered of each class
 MIN_RATIOS = 5  # runs from which on estimates are corrected
 OVERRUN_SHARE = 0.25  # of the time that a run took so far: the least that is assumed to remain
-MIN_REMAINING_S = 0.5
+MIN_REMAINING_S = 0.5  # the least that is assumed to remain of any run
 
 
 @dataclass(slots=True)
--- a/dunehold/coordination/planning/guarantees.py
+++ b/dunehold/coordination/planning/guarantees.py
@@ -38,7 +38,7 @@
     if sum(wants.values()) <= available_cpus:
         return entitlements
     shares = fair_shares(
-        available_cpus, wants, {team: promise.cpus for team, promise in entitlements.items()}
+        available_cpus, wants, {team: entitled.cpus for team, entitled in entitlements.items()}
     )
     return {team: entitlements[team]._replace(cpus=shares[team]) for team in entitlements}
 
--- a/dunehold/coordination/planning/health.py
+++ b/dunehold/coordination/planning/health.py
@@ -24,6 +24,8 @@
 
 @dataclass(slots=True)
 class _JobHealth:
+    """The successes and failures of one job, and the backoff that follows from them."""
+
     has_succeeded: bool = False  # a task of the job has completed, so the job can run
     broken: bool = False
     # Number of failures on each host; the host of the latest failure comes last.
@@ -167,6 +169,7 @@
             self._back_off(entry, now)
 
     def broken_jobs(self) -> set[JobId]:
+        """The jobs that are judged to fail on every host."""
         return {job for job, entry in self.jobs.items() if entry.broken}
 
     def in_backoff(self, job: JobId, now: MonotonicTime) -> bool:
--- a/dunehold/coordination/planning/objectives.py
+++ b/dunehold/coordination/planning/objectives.py
@@ -74,18 +74,18 @@
 
 
 def completion_target_s(
-    objective: Objective, spec: JobSpec, waited_s: float = 0.0
+    objective: Objective, spec: JobSpec, dependency_wait_s: float = 0.0
 ) -> float | None:
     """Seconds after the job became eligible by which the objective wants it complete.
 
     Returns None if the objective sets no completion time for the job. Deadlines count from
-    the submission of the job, ``waited_s`` before it became eligible: during that time it
-    waited for its dependencies.
+    the submission of the job, ``dependency_wait_s`` before it became eligible: during that time
+    it waited for its dependencies.
     """
     if objective.job_class != spec.job_class:
         return None
     if objective.kind == "finished":
         return objective.within_s
     if objective.kind == "deadline" and spec.deadline_s is not None:
-        return max(0.0, spec.deadline_s * objective.times - waited_s)
+        return max(0.0, spec.deadline_s * objective.times - dependency_wait_s)
     return None
--- a/dunehold/coordination/planning/progress.py
+++ b/dunehold/coordination/planning/progress.py
@@ -9,7 +9,7 @@
 from dunehold.protocol.users import JobSpec
 from dunehold.types import UNBOUNDED, MonotonicTime, TaskId
 
-MIN_PEER_DURATIONS = 4  # ended tasks of a job that a run is compared with at least
+MIN_PEER_DURATIONS = 4  # the fewest completed tasks that a run is compared with
 MAX_DURATIONS = 200  # durations that are kept of each job
 
 
@@ -23,7 +23,7 @@
     completion_targets_s: list[float] = field(default_factory=list)
     # Seconds after the job became eligible by which its class should start.
     start_target_s: float = UNBOUNDED
-    durations: list[float] = field(default_factory=list)  # of its ended tasks in s, sorted
+    durations: list[float] = field(default_factory=list)  # of its completed tasks in s, sorted
     held_until: MonotonicTime = MonotonicTime(-1e9)  # no task is started before
     started_tasks: set[int] = field(default_factory=set)  # tasks that were reported running
     at_team_limit_s: float = 0.0  # how long it waited because its team was at its limit
@@ -33,8 +33,8 @@
     """The duration of a run divided by the third quartile of the job's other tasks.
 
     The tasks of a job are alike, so a high ratio points to a slow host. Returns None until
-    half of the tasks have ended (at least MIN_PEER_DURATIONS, at most MAX_DURATIONS), because
-    those that end first are the fast ones.
+    half of the tasks have completed (at least ``MIN_PEER_DURATIONS``, at most
+    ``MAX_DURATIONS``), because those that complete first are the fast ones.
     """
     known = progress.durations
     if len(known) < max(MIN_PEER_DURATIONS, min(progress.spec.tasks // 2, MAX_DURATIONS)):
--- a/dunehold/coordination/planning/snapshot_builder.py
+++ b/dunehold/coordination/planning/snapshot_builder.py
@@ -52,13 +52,13 @@
     Zone,
 )
 
-DEFAULT_SERVICE_START_S = 10.0  # for a replica to start, if the settings state no objective
+DEFAULT_SERVICE_START_S = 10.0  # start target of a service that no objective covers, at most
 MAX_TASKS_PER_PLAN = 200  # tasks of one job in a snapshot, gangs excepted
 SUSPECT_PENALTY_S = 30.0  # cost that is added to starts on a suspect host
 SUSPECT_S = 60.0  # how long the penalty applies after a host became suspect
-MAX_POSTPONEMENTS = 3  # completion targets that a job gives up at most
-SCARCITY_HALF_LIFE_S = 60.0
-BURST_HALF_LIFE_S = 60.0
+MAX_POSTPONEMENTS = 3  # the most completion targets that a job gives up
+SCARCITY_HALF_LIFE_S = 60.0  # of past demand in the scarcity of machine kinds
+BURST_HALF_LIFE_S = 60.0  # of the reserve for jobs above the lowest rank
 COMMAND_DELIVERY_S = 0.5  # to write the start log and to deliver the command to the worker
 
 
@@ -107,7 +107,7 @@
     scarcity_updated_at: MonotonicTime = MonotonicTime(0.0)
     # Time and CPUs wanted: the peaks of demand that may still be the highest of the period.
     demand_peaks: deque[tuple[float, float]] = field(default_factory=deque)
-
+    # From 0 to 1, as in ``Snapshot``.
     scarcity: dict[MachineKind, float] = field(default_factory=dict)
     burst_cpus: float = 0.0  # at burst_at: CPUs of the largest recent job above the lowest rank
     burst_at: MonotonicTime = MonotonicTime(0.0)
@@ -141,7 +141,7 @@
         ]
         if spec.kind is JobKind.SERVICE and not waits:
             # No objective covers this service, so it gets the shortest start time that is set
-            # for any class.
+            # for any class, or the default if that is shorter.
             waits = [o.within_s for o in all_objectives if o.kind in ("wait", "guarantee")]
             waits.append(Duration(DEFAULT_SERVICE_START_S))
         return JobProgress(
@@ -158,9 +158,9 @@
         """
         spec, became_eligible_at = record.spec, record.eligible_at
         assert spec is not None
-        waited_s = became_eligible_at - record.accepted_at
+        dependency_wait_s = became_eligible_at - record.accepted_at
         own = [
-            completion_target_s(objective, spec, waited_s)
+            completion_target_s(objective, spec, dependency_wait_s)
             for objective in self.settings.objectives
         ]
         targets = [target for target in own if target is not None]
@@ -359,10 +359,10 @@
         """
         if progress.spec.kind is JobKind.SERVICE:
             return (0.0, progress.start_target_s, eligible_at)
-        rounds = self.postponements.get(progress.spec.id, 0)
+        times_postponed = self.postponements.get(progress.spec.id, 0)
         return (
-            float(rounds),
-            next_completion_target_s(progress, waited, run_s, rounds) - waited - run_s,
+            float(times_postponed),
+            next_completion_target_s(progress, waited, run_s, times_postponed) - waited - run_s,
             eligible_at,
         )
 
--- a/dunehold/coordination/scheduler/backfill.py
+++ b/dunehold/coordination/scheduler/backfill.py
@@ -3,9 +3,9 @@
 Step 1 starts entries in list order until one does not fit: the head of the list. Step 2
 reserves room for the head on the host where it fits first (shadow time, extra room) and
 backfills later entries. Step 3 starts remaining entries in the background tier, in room that is
-reserved for the head, the shortest estimate first. Before that, background runs that no
-reservation needs any more are promoted to the foreground in place, or stopped with a save in
-order to continue on another host.
+reserved for the head, the shortest estimate first. Before that, background runs whose room no
+reservation needs any more are promoted to the foreground in place; others may be stopped with a
+save in order to continue on another host.
 
 The tasks of an array are placed together: its hosts are searched once, the cheapest first, and
 each is filled. Free room only shrinks while a plan is made. A need that found no room is
@@ -183,7 +183,7 @@
         return reservation is None or self.now + ends_s <= reservation.shadow_at
 
     def _promote_background(self) -> None:
-        """Promotes background runs that no reservation needs to the foreground, in place.
+        """Promotes background runs whose room no reservation needs to the foreground, in place.
 
         Other resumable ones are stopped with a save if another host has room for them.
         """
--- a/dunehold/coordination/scheduler/plan_state.py
+++ b/dunehold/coordination/scheduler/plan_state.py
@@ -33,7 +33,7 @@
     Zone,
 )
 
-NEVER = float("inf")
+NEVER = float("inf")  # the time of something that does not happen
 STOP_DELAY_S = 0.5  # from the decision to stop a run until its room is free
 SCARCITY_COST_S = 30.0  # cost of a start on a machine kind whose scarcity is 1
 AVOIDED_COST_S = 60.0  # cost of a start on a host where a task of the job failed
--- a/dunehold/coordination/scheduler/preemption.py
+++ b/dunehold/coordination/scheduler/preemption.py
@@ -78,12 +78,11 @@
         return min(wanted, int(count))
 
     def _room_to_clear(self, entry: Entry) -> tuple[int, Rank]:
-        """The number of tasks that room must be cleared for, and the rank below which runs
-        may be stopped for them.
+        """The number of tasks to clear room for, and the rank below which runs may be stopped.
 
         Any lower rank is stopped for tasks that would miss an objective. Work of the lowest
         rank, which takes whatever room is left over, is stopped as soon as other tasks would
-        wait for its room longer than LOW_RANK_YIELD_WAIT_S.
+        wait for its room longer than ``LOW_RANK_YIELD_WAIT_S``.
         """
         none = (0, entry.rank)
         if self.preemptors_left <= 0 or self.stops_left <= 0 or not self._could_preempt(entry):
--- a/dunehold/coordination/term/delivery.py
+++ b/dunehold/coordination/term/delivery.py
@@ -118,7 +118,7 @@
         """
         slots = asyncio.Semaphore(MAX_CONCURRENT_PROBES)
 
-        async def probe_unknown(host: Host) -> None:
+        async def probe_unreconciled(host: Host) -> None:
             async with slots:
                 if host.address and not host.session_known and not host.fenced:
                     await self._probe(host)
@@ -126,7 +126,7 @@
         while hosts := self.ledger.unreconciled_hosts():
             async with asyncio.TaskGroup() as group:
                 for host in hosts:
-                    group.create_task(probe_unknown(host))
+                    group.create_task(probe_unreconciled(host))
             await asyncio.sleep(PROBE_INTERVAL_S)
 
     async def _probe(self, host: Host) -> None:
--- a/dunehold/coordination/term/late_starts.py
+++ b/dunehold/coordination/term/late_starts.py
@@ -1,9 +1,9 @@
 """Attributes each late first start of a task to one cause.
 
-A first start is late if it misses its limit: the objective for starts of its class or, within a
-guarantee, the stricter of that and the guarantee's objective. The wait is counted as users
-count it, from when the job can start (it is accepted and its dependencies are complete) until
-the task is seen to run. The cause is the longest part of the wait:
+A first start is late if it misses its start target: the objective for starts of its class or,
+within a guarantee, the stricter of that and the guarantee's objective. The wait is counted as
+users count it, from when the job can start (it is accepted and its dependencies are complete)
+until the task is seen to run. The cause is the longest part of the wait:
 
 - *leader*: there was no leader, or it did not know the job yet;
 - *limit*: the job's team had no room under its limit;
@@ -41,7 +41,7 @@
 class FirstStart:
     """One first start of a task. Times are in seconds on the leader's monotonic clock."""
 
-    # From when the wait counts.
+    # From when the wait counts: the job was accepted and its dependencies were complete.
     accepted_at: float
     # From when this leader could place the task.
     known_at: float
@@ -80,14 +80,14 @@
 
 @dataclass(slots=True)
 class LateStarts:
-    """Counts first starts with a limit in one term, by class, and the late ones by cause."""
+    """Counts first starts with a target in one term, by class, and the late ones by cause."""
 
     took_over_at: MonotonicTime
     starts: Counter[str] = field(default_factory=Counter)
     late: dict[str, Counter[Cause]] = field(default_factory=dict)
 
     def record_start(
-        self, run: Run, progress: JobProgress, limit_s: float, waited_s: float
+        self, run: Run, progress: JobProgress, target_s: float, waited_s: float
     ) -> None:
         """Counts the start of a task that is seen to run, ``waited_s`` after it could start.
 
@@ -105,7 +105,7 @@
         progress.started_tasks.add(number)
         job_class = progress.spec.job_class
         self.starts[job_class] += 1
-        if waited_s <= limit_s:
+        if waited_s <= target_s:
             return
         accepted_at = run.running_at - waited_s
         wait = FirstStart(
--- a/dunehold/coordination/term/leader.py
+++ b/dunehold/coordination/term/leader.py
@@ -137,12 +137,12 @@
     _dirty: bool = True
     _planned_at: MonotonicTime = MonotonicTime(-1e9)
     # Minimum time from the start of one plan to the start of the next.
-    _plan_gap_s: float = 0.0
+    _plan_interval_s: float = 0.0
     _preempted_at: MonotonicTime = MonotonicTime(-1e9)
     _plan_timer: asyncio.TimerHandle | None = None
     _tasks: set[asyncio.Task[Any]] = field(default_factory=set)
     # Whether it has been logged that all machines are reconciled.
-    _reported_known: bool = False
+    _reconciliation_logged: bool = False
     # Whether any worker has reported in this term.
     heard_any_worker: bool = False
     _handing_over: bool = False
@@ -450,15 +450,15 @@
         progress, record = self.progress.get(job), self.view.active.get(job)
         if progress is None or record is None:
             return
-        limit_s = progress.start_target_s
+        target_s = progress.start_target_s
         if (
             self.snapshot_builder.guaranteed_jobs is not None
             and job in self.snapshot_builder.guaranteed_jobs
         ):
-            limit_s = min(limit_s, self.snapshot_builder.guarantee_target_s)
-        if limit_s < UNBOUNDED:
+            target_s = min(target_s, self.snapshot_builder.guarantee_target_s)
+        if target_s < UNBOUNDED:
             self.late_starts.record_start(
-                run, progress, limit_s, self.wall() - record.eligible_at
+                run, progress, target_s, self.wall() - record.eligible_at
             )
 
     def _handle_lost(self, runs: list[Run]) -> None:
@@ -498,9 +498,10 @@
             self.maintenance.record_lost([run], now)
             self._stop(run, spec.save_s if can_save else Duration(0.0))
 
-    def _check_known(self) -> None:
-        if not self._reported_known and self.ledger.all_reconciled():
-            self._reported_known = True
+    def _check_reconciled(self) -> None:
+        """Logs once, and requests a plan, when no machine is unreconciled any more."""
+        if not self._reconciliation_logged and self.ledger.all_reconciled():
+            self._reconciliation_logged = True
             log.info(
                 "token %d: every machine has answered, is fenced or is deleted", self.token
             )
@@ -554,10 +555,10 @@
         self._dirty = True
 
     def request_scheduling(self) -> None:
-        """Schedules a plan for the earliest time that the gap between plans allows."""
+        """Schedules a plan for the earliest time that the interval between plans allows."""
         self._dirty = True
         if self._plan_timer is None:
-            wait = self._planned_at + self._plan_gap_s - self.now()
+            wait = self._planned_at + self._plan_interval_s - self.now()
             loop = asyncio.get_running_loop()
             self._plan_timer = loop.call_later(max(wait, 0.0), self._plan_due)
 
@@ -582,7 +583,7 @@
         now = self.now()
         if not self._dirty or not self.may_start():
             return
-        if not due and now - self._planned_at < self._plan_gap_s:
+        if not due and now - self._planned_at < self._plan_interval_s:
             self.request_scheduling()
             return
         self._dirty = False
@@ -595,10 +596,10 @@
         decided = plan(snapshot, self._policy(preempting))
         self.previous_reservations = decided.reservations
         self._apply_plan(decided, now)
-        # Planning takes longer the more tasks wait. The gap between plans grows with it, so
-        # that reports are still answered in time.
+        # Planning takes longer the more tasks wait. The interval between plans grows
+        # with it, so that reports are still answered in time.
         planning_s = self.now() - now
-        self._plan_gap_s = max(
+        self._plan_interval_s = max(
             self.settings.operator.schedule_interval_s, planning_s / MAX_PLANNING_TIME_SHARE
         )
 
@@ -693,7 +694,7 @@
         outcome = self.ledger.ingest(report, self.now(), direct=True)
         if outcome.accepted:
             self._apply_outcome(host, outcome)
-            self._check_known()
+            self._check_reconciled()
             if outcome.changed:
                 self.request_scheduling()
 
@@ -752,14 +753,14 @@
                     self._handing_over = True
                     self.spawn(self._hand_over_to(next_zone))
             self._handle_lost(self.ledger.expire_leases(min(now, self.proved_at())))
-            self._check_known()
+            self._check_reconciled()
             self.maintenance.update(now)
             self.fleet.return_hosts(now, self.receiving_since)
             self.fleet.record_boots(now)
             for host in self.ledger.hosts.values():
                 if host.session_known and self.ledger.has_urgent_commands(host):
                     self.delivery.send_urgent(host.id)
-            self._note_limits()
+            self._count_time_at_limits()
             self.snapshot_builder.guaranteed_jobs = None
             self.snapshot_builder.update_postponements(
                 self.progress, now, WallTime(self.wall())
@@ -791,7 +792,7 @@
         await self.recorder.record_successor(zone)
         self.deposed()
 
-    def _note_limits(self) -> None:
+    def _count_time_at_limits(self) -> None:
         """Counts, for each waiting job, the time during which its team is at its limit."""
         for progress in self.progress.values():
             if progress.waiting and not self.ledger.team_allows(progress.spec):
@@ -853,10 +854,10 @@
             or now - self._stalled_at < self.snapshot_builder.report_timeout_s
         ):
             return False
-        unknown = [
+        unreconciled = [
             h for h in self.ledger.unreconciled_hosts() if not self.fleet.presumed_lost(h)
         ]
-        if len(unknown) <= len(self.ledger.hosts) * MAX_SILENT_HOST_SHARE:
+        if len(unreconciled) <= len(self.ledger.hosts) * MAX_SILENT_HOST_SHARE:
             return True
         if (
             not self.heard_any_worker
@@ -869,7 +870,7 @@
         log.info(
             "token %d: %d machines have not reported; they do not count as capacity until then",
             self.token,
-            len(unknown),
+            len(unreconciled),
         )
         self.fleet.all_silent_at = now
         return True
--- a/dunehold/coordination/term/quarantine.py
+++ b/dunehold/coordination/term/quarantine.py
@@ -23,6 +23,7 @@
 MAX_SLOWNESS = 4.0
 # Number of consecutive slow results after which a machine is quarantined.
 SLOW_RESULTS_TO_QUARANTINE = 2
+# Reason for draining a machine that is quarantined for failed tasks.
 FAILING_TASKS_REASON = "tasks fail on it"
 
 
@@ -31,7 +32,7 @@
     """Marks machines as suspect, slow or quarantined according to the results of their tasks.
 
     Nothing is started on a quarantined machine. It is returned to the cloud once it is empty;
-    after failed tasks, ``Fleet`` first waits in case they turn out to fail everywhere.
+    after failed tasks, ``Fleet`` first waits in case these tasks turn out to fail everywhere.
     """
 
     ledger: Ledger
