--- a/dunehold/bookkeeping/disruptions.py
+++ b/dunehold/bookkeeping/disruptions.py
@@ -34,7 +34,10 @@
 
 @dataclass(frozen=True, slots=True)
 class TeamTotals:
-    """What a team has on hosts, of which the shares in its budget are taken."""
+    """What a team has on hosts.
+
+    The shares in its budget are taken of this and what is disrupted together.
+    """
 
     tasks: int = 0
     cpus: float = 0.0
@@ -108,7 +111,7 @@
     def add(
         self, disruption: Disruption, task: TaskId, now: MonotonicTime, choice: bool
     ) -> None:
-        """Count one task that is stopped by ``choice``, or was lost.
+        """Count one task that is stopped voluntarily (``choice``) or was lost.
 
         A task that is disrupted already is not counted again.
         """
--- a/dunehold/bookkeeping/ledger.py
+++ b/dunehold/bookkeeping/ledger.py
@@ -138,9 +138,9 @@
 
         A host of an unknown machine type has no capacity.
         """
-        kind = self.types.get(type_name)
-        room = kind.capacity if kind is not None else NO_RESOURCES
-        entry = Host(host, type_name, zone, spot, address, now, room)
+        machine_type = self.types.get(type_name)
+        host_capacity = machine_type.capacity if machine_type is not None else NO_RESOURCES
+        entry = Host(host, type_name, zone, spot, address, now, host_capacity)
         self.hosts[host] = entry
         return entry
 
--- a/dunehold/bookkeeping/orders.py
+++ b/dunehold/bookkeeping/orders.py
@@ -25,7 +25,7 @@
 )
 from dunehold.types import HostId, OrderId, Revision, TypeName, WallTime, Zone
 
-FORMAT = 1
+FORMAT = 1  # of the durable records of an order and of its progress
 
 
 class Stage(StrEnum):
--- a/dunehold/bookkeeping/records.py
+++ b/dunehold/bookkeeping/records.py
@@ -64,7 +64,10 @@
 # One page of a job's completion bitmap covers this many tasks. It takes about 700 bytes in
 # base64, which fits the smallest value size that the settings allow (1 KiB).
 TASKS_PER_BITMAP_PAGE = 4096
-HOST_BYTES = 24  # space assumed for each host in a page of host records, in bytes
+# Bytes assumed for each host in a page of host records: its id with quotes and a comma. This
+# limits the number of hosts in a page, whose encoded size is not checked below that number.
+# Longer ids would need a larger value here, and thus fewer hosts to a page.
+HOST_BYTES = 24
 
 
 def job_key(job: JobId) -> str:
@@ -167,7 +170,7 @@
 
     condition: ZoneCondition
     flaps: int
-    healthy_host_count: int  # hosts that were up when the zone was last healthy
+    healthy_host_count: int  # hosts expected to report when it was last healthy
 
 
 def encode_job_record(spec: JobSpec, phase: JobPhase, accepted_at: WallTime) -> dict[str, Any]:
--- a/dunehold/coordination/fleet/autoscaler.py
+++ b/dunehold/coordination/fleet/autoscaler.py
@@ -60,7 +60,7 @@
     """
     decision = ScalingDecision()
     horizon = FREED_ROOM_HORIZON_SHARE * min(
-        (kind.boot_s for kind in types.values()), default=0.0
+        (machine_type.boot_s for machine_type in types.values()), default=0.0
     )
     least = min((demand.need.cpus for demand in demands), default=0.0)
     room: dict[Offer, dict[HostId, Resources]] = {}
@@ -143,24 +143,24 @@
     with the zone that has the fewest hosts.
     """
     options: list[tuple[float, int, Offer, MachineType]] = []
-    for kind in types.values():
-        copies = kind.capacity.count_fitting(demand.need)
+    for machine_type in types.values():
+        copies = machine_type.capacity.count_fitting(demand.need)
         if copies <= 0:
             continue
-        for zone in kind.zones:
+        for zone in machine_type.zones:
             for spot in (True, False):
-                offer = Offer(kind.name, zone, spot)
+                offer = Offer(machine_type.name, zone, spot)
                 if offer in refused or not demand.allowed(offer):
                     continue
-                price = kind.spot_price if spot else kind.price
+                price = machine_type.spot_price if spot else machine_type.price
                 cost = price * math.ceil(left / copies)
                 if offer in unreliable:
                     cost *= UNRELIABLE_COST_FACTOR  # a machine is also paid for while it boots
-                options.append((cost, per_zone.get(zone, 0), offer, kind))
+                options.append((cost, per_zone.get(zone, 0), offer, machine_type))
     if not options:
         return
-    _, _, offer, kind = min(options, key=lambda option: option[:2])
-    copies = kind.capacity.count_fitting(demand.need)
+    _, _, offer, machine_type = min(options, key=lambda option: option[:2])
+    copies = machine_type.capacity.count_fitting(demand.need)
     number = math.ceil(left / copies)
 
     def equivalence_key(one: Offer) -> tuple[TypeName, bool, bool]:
@@ -182,7 +182,7 @@
         # The free capacity of the last machine is available to the demands that follow.
         places = room.setdefault(offer, {})
         unplaceable.pop(offer, None)
-        places[HostId(f"+{len(asked)}-{len(places)}")] = kind.capacity.minus(
+        places[HostId(f"+{len(asked)}-{len(places)}")] = machine_type.capacity.minus(
             demand.need.times(copies - spare)
         )
 
@@ -196,9 +196,9 @@
     """Returns idle hosts beyond ``kept_cpus``, those with the highest price per CPU first."""
 
     def price_per_cpu(host: FleetHost) -> float:
-        kind = types[host.offer.type]
-        rate = kind.spot_price if host.offer.spot else kind.price
-        return rate / max(kind.capacity.cpus, 1.0)
+        machine_type = types[host.offer.type]
+        rate = machine_type.spot_price if host.offer.spot else machine_type.price
+        return rate / max(machine_type.capacity.cpus, 1.0)
 
     cpus = sum(host.total.cpus for host in hosts)
     released = []
--- a/dunehold/coordination/fleet/fleet.py
+++ b/dunehold/coordination/fleet/fleet.py
@@ -129,6 +129,7 @@
 
     @staticmethod
     def now() -> MonotonicTime:
+        """Returns the present time of the event loop's clock."""
         return MonotonicTime(asyncio.get_running_loop().time())
 
     # -- returning machines ----------------------------------------------------------------
@@ -182,12 +183,12 @@
             return None if host.busy or not host.session_known else "it is taken back"
         heard = host.lease_renewed_at
         if not host.up and heard is None and host.created_at != self.ledger.took_over_at:
-            kind = self.types.get(host.type)
+            machine_type = self.types.get(host.type)
             boot_times = operator.boot_patience
             if self.zones.is_lost(host.zone):
                 # Its first report can't arrive from a lost zone, so waiting longer is no use.
                 boot_times = min(boot_times, LATE_AFTER_BOOT_TIMES)
-            timeout_s = (kind.boot_s if kind else DEFAULT_BOOT_S) * boot_times
+            timeout_s = (machine_type.boot_s if machine_type else DEFAULT_BOOT_S) * boot_times
             give_up_at = max(
                 host.created_at + timeout_s,
                 attentive_since + self.snapshot_builder.report_timeout_s,
@@ -249,7 +250,7 @@
         up after all. The share of late boots of an offer decides whether it is unreliable.
         """
         for host in self.ledger.hosts.values():
-            kind = self.types.get(host.type)
+            machine_type = self.types.get(host.type)
             if host.up or host.lease_renewed_at is not None:
                 if host.id in self.overdue_hosts:
                     self.overdue_hosts.discard(host.id)
@@ -258,11 +259,11 @@
                     self._record_boot(host, now, late=False)
                 host.boot_noted = True
             elif (
-                kind is not None
+                machine_type is not None
                 and not host.deleting
                 and host.id not in self.overdue_hosts
                 and host.created_at != self.ledger.took_over_at
-                and now - host.created_at > LATE_AFTER_BOOT_TIMES * kind.boot_s
+                and now - host.created_at > LATE_AFTER_BOOT_TIMES * machine_type.boot_s
             ):
                 self.overdue_hosts.add(host.id)
                 self._record_boot(host, now, late=True)
@@ -309,9 +310,9 @@
         spot_allowed = bool(self.settings.operator.spot_allowed)
         closed = {zone for zone in self.settings.zones if not self.zones.rent_limit(zone)}
         refused |= {
-            Offer(kind.name, zone, spot)
-            for kind in self.types.values()
-            for zone in kind.zones
+            Offer(machine_type.name, zone, spot)
+            for machine_type in self.types.values()
+            for zone in machine_type.zones
             for spot in (True, False)
             if zone in closed or (spot and not spot_allowed)
         }
@@ -366,9 +367,13 @@
         """
         found = []
         for zone in self.zones.zones_to_probe(now):
-            kinds = [kind for kind in self.types.values() if zone in kind.zones]
-            if kinds:
-                cheapest = min(kinds, key=lambda kind: kind.price)
+            machine_types = [
+                machine_type
+                for machine_type in self.types.values()
+                if zone in machine_type.zones
+            ]
+            if machine_types:
+                cheapest = min(machine_types, key=lambda machine_type: machine_type.price)
                 log.info("zone %s is lost and has no machines: renting one as a probe", zone)
                 found.append(Rent(Offer(cheapest.name, zone, False), 1))
         return found
--- a/dunehold/coordination/maintenance/controller.py
+++ b/dunehold/coordination/maintenance/controller.py
@@ -3,7 +3,7 @@
 The controller takes machines out of service, stops work on them within the disruption budgets
 and replaces machines in waves. The orders come from the view. The ledger calls
 ``out_of_service_order`` before every start, so that nothing is started on a machine once this
-node's view has an order for it. Stops by choice are recorded durably before they are commanded.
+node's view has an order for it. Voluntary stops are recorded durably before they are commanded.
 Every step follows from the durable progress and from the machines that exist, so that a next
 leader continues an order.
 """
@@ -64,7 +64,7 @@
 MAX_SLOWNESS_FACTOR = 1.3
 MAX_HOLD_REASONS = 5  # reasons that are shown for each order
 LOWEST_HOST_ID = HostId("-")  # sorts before the id of any machine
-DRAIN_REASON = "its machine is to run empty"
+DRAIN_REASON = "its machine is to run empty"  # why an attempt is stopped, for the log
 
 
 @dataclass(frozen=True, slots=True)
@@ -91,7 +91,7 @@
 
     Attributes:
         may_start: tells whether this node may still act as the leader.
-        wall: returns the time of day, seconds since the epoch.
+        wall: returns the wall-clock time, in seconds since the epoch.
         spawn: runs a coroutine in the background for the duration of the term.
         stop: commands the stop of a run, and queues its task again if it was never sent.
         requeue: queues a task whose start was withdrawn.
@@ -183,12 +183,13 @@
             and scope.in_force(order, self.progress(order.id), wall)
         ]
         return {
-            Offer(kind.name, zone, spot)
-            for kind in self.types.values()
-            for zone in kind.zones
+            Offer(machine_type.name, zone, spot)
+            for machine_type in self.types.values()
+            for zone in machine_type.zones
             for spot in (True, False)
             if any(
-                order.selection.matches_every_machine(kind.name, zone, spot) for order in drains
+                order.selection.matches_every_machine(machine_type.name, zone, spot)
+                for order in drains
             )
         }
 
@@ -252,8 +253,8 @@
         try:
             self.disruptions.restore(self.view.disruptions, now, WallTime(self.wall()))
         except (BadMessage, ValueError, TypeError) as error:
-            # What has been spent is unknown, so nothing of a team is stopped by choice until
-            # the window of its budget is over.
+            # What is left of the budgets is unknown, so a team has no voluntary stops until the
+            # window of its budget is over.
             log.error("can't read the record of disruptions, stopping nothing yet: %s", error)
             self.disruptions.block(self.settings.teams, now)
         self.apply_orders()
@@ -335,7 +336,7 @@
             self._advance_replacement(order, progress, now, wall)
 
     def _newest_matching_host(self, order: Order, now: MonotonicTime) -> HostId | None:
-        """Returns the newest machine that an order applies to, or None if it is not known yet.
+        """Returns the newest machine that an order can apply to, or None if not known yet.
 
         Machine ages come from the cloud's list, so an order that selects by age waits for it.
         """
@@ -449,7 +450,7 @@
         ]
         states = [s for s in self.snapshot_builder.host_states(now) if s.ready_at <= now]
         staying = {one.id for one in old}
-        boots = [kind.boot_s for kind in self.types.values()]
+        boots = [machine_type.boot_s for machine_type in self.types.values()]
         return replacement.Observation(
             now=wall,
             old=tuple(old),
@@ -473,8 +474,8 @@
 
     def _is_faulty(self, host: Host, now: MonotonicTime) -> bool:
         """Tells whether a new machine is overdue, quarantined or too slow."""
-        kind = self.types.get(host.type)
-        boot_s = kind.boot_s if kind is not None else DEFAULT_BOOT_S
+        machine_type = self.types.get(host.type)
+        boot_s = machine_type.boot_s if machine_type is not None else DEFAULT_BOOT_S
         if not host.up and host.lease_renewed_at is None:
             return now - host.created_at > LATE_AFTER_BOOT_TIMES * boot_s
         return host.quarantined_at is not None or host.slowness > MAX_SLOWNESS_FACTOR
@@ -539,7 +540,7 @@
         if not any(host.busy for host in hosts):
             return
         decision = draining.decide(
-            self._drain_candidates(hosts, now, wall), self.disruptions, self._wholes()
+            self._drain_candidates(hosts, now, wall), self.disruptions, self._team_totals()
         )
         for order in {host.order for host in hosts if host.order is not None}:
             if decision.held_up:
@@ -641,7 +642,7 @@
             )
         return count
 
-    def _wholes(self) -> dict[Team, TeamTotals]:
+    def _team_totals(self) -> dict[Team, TeamTotals]:
         """Returns what each team has on machines; tasks do not include replicas."""
         counts: dict[Team, int] = {}
         for runs in self.ledger.runs_by_task.values():
@@ -670,9 +671,11 @@
         """Returns the teams of which the scheduler may stop nothing now."""
         if not self.budgets_bind_scheduler:
             return frozenset()
-        wholes = self._wholes()
+        totals_by_team = self._team_totals()
         return frozenset(
-            t for t, whole in wholes.items() if self.disruptions.exhausted(t, whole)
+            team
+            for team, totals in totals_by_team.items()
+            if self.disruptions.exhausted(team, totals)
         )
 
     def stop_within_budgets(
@@ -682,7 +685,7 @@
 
         ``wanted`` holds the run, the grace period and the reason of each stop.
         """
-        wholes = self._wholes()
+        totals_by_team = self._team_totals()
         for run, grace, reason in wanted:
             spec = self._spec(run)
             if spec is None:
@@ -690,7 +693,7 @@
             hit = Disruption(run.team, run.id.task.job, 1, run.need.cpus, run.service)
             up = self._replicas_up(hit.job) if run.service else 0
             refused = self.disruptions.refusal(
-                hit, wholes.get(run.team, TeamTotals()), spec.tasks, up
+                hit, totals_by_team.get(run.team, TeamTotals()), spec.tasks, up
             )
             if refused is not None:
                 log.debug("stop of %s refused by the disruption budget: %s", run.id, refused)
@@ -763,7 +766,7 @@
     # -- events ----------------------------------------------------------------------------
 
     def record_lost(self, runs: Iterable[Run], now: MonotonicTime) -> None:
-        """Counts runs that were lost, not stopped by choice, against the budgets."""
+        """Counts runs that were lost, rather than stopped voluntarily, against the budgets."""
         for run in runs:
             hit = Disruption(run.team, run.id.task.job, 1, run.need.cpus, run.service)
             if run.id.task.job in self.view.active:
--- a/dunehold/coordination/maintenance/draining.py
+++ b/dunehold/coordination/maintenance/draining.py
@@ -69,6 +69,7 @@
 
     @property
     def saves(self) -> bool:
+        """Whether it saves a checkpoint when it is stopped."""
         return self.save_s > 0
 
     @property
@@ -102,7 +103,7 @@
 def decide(
     candidates: Iterable[DrainCandidate],
     disruptions: DisruptionTracker,
-    wholes: Mapping[Team, TeamTotals],
+    totals_by_team: Mapping[Team, TeamTotals],
 ) -> DrainDecision:
     """Decides which attempts to stop now.
 
@@ -112,7 +113,7 @@
     Args:
         candidates: the attempts on draining machines.
         disruptions: what has been disrupted lately, and the budgets.
-        wholes: what each team has on machines.
+        totals_by_team: what each team has on machines.
     """
     found = DrainDecision()
     reasons: dict[str, None] = {}
@@ -130,7 +131,7 @@
             reasons[f"{job}: no machine stands ready for its replica"] = None
             found.late += run.limit_s <= 0
             continue
-        reason = _refusal(run, disruptions, wholes, granted)
+        reason = _refusal(run, disruptions, totals_by_team, granted)
         if reason is not None:
             reasons[reason] = None
             found.late += run.limit_s <= 0
@@ -164,7 +165,7 @@
 def _refusal(
     run: DrainCandidate,
     disruptions: DisruptionTracker,
-    wholes: Mapping[Team, TeamTotals],
+    totals_by_team: Mapping[Team, TeamTotals],
     granted: Mapping[tuple[Team, JobId | None], tuple[int, float]],
 ) -> str | None:
     """Returns why the budgets do not allow stopping an attempt now, or None.
@@ -179,4 +180,6 @@
     total = Disruption(
         hit.team, hit.job, hit.tasks + tasks, hit.cpus + granted_cpus, hit.service
     )
-    return disruptions.refusal(total, wholes.get(run.team, TeamTotals()), run.replicas, run.up)
+    return disruptions.refusal(
+        total, totals_by_team.get(run.team, TeamTotals()), run.replicas, run.up
+    )
--- a/dunehold/coordination/maintenance/operator_api.py
+++ b/dunehold/coordination/maintenance/operator_api.py
@@ -56,7 +56,7 @@
     Attributes:
         types: returns the machine types, or None until the cloud has listed them.
         leader_status: asks the leader for its status; None if it does not answer.
-        wall: returns the time of day, seconds since the epoch.
+        wall: returns the wall-clock time, in seconds since the epoch.
     """
 
     settings: Settings
--- a/dunehold/coordination/maintenance/replacement.py
+++ b/dunehold/coordination/maintenance/replacement.py
@@ -64,7 +64,7 @@
     """What the leader sees of the machines that an order concerns.
 
     Attributes:
-        now: the time of day.
+        now: the wall-clock time.
         old: machines of the order that are left.
         fresh: new machines.
         trusted_zones: zones that are healthy.
@@ -73,8 +73,8 @@
         waiting_cpus: CPUs of the work that waits.
         fleet_cpus: CPUs of all machines.
         free_cpus: free CPUs on machines that the order does not replace.
-        regression: a team whose jobs finish in time far less often than before the order, as a
-            reason for operators; empty if there is none.
+        regression: a team whose jobs finish in time far less often than before this leader's
+            first wave of the order, as a reason for operators; empty if there is none.
     """
 
     now: WallTime
--- a/dunehold/coordination/maintenance/scope.py
+++ b/dunehold/coordination/maintenance/scope.py
@@ -72,7 +72,8 @@
 ) -> OrderId | None:
     """Returns an order in progress that conflicts with a new one, or None.
 
-    Two orders conflict if at least one of them replaces machines and both select a machine.
+    Two orders conflict if at least one of them replaces machines and both select the same
+    machine.
     """
     candidates = [
         other
--- a/dunehold/coordination/persistence/recorder.py
+++ b/dunehold/coordination/persistence/recorder.py
@@ -47,7 +47,7 @@
 
 log = logging.getLogger(__name__)
 
-RETRY_S = 0.3
+RETRY_S = 0.3  # after a transaction that failed or was not answered
 MALFORMED_RETRY_S = 1.0  # after a transaction that the state service rejects as malformed
 BITMAP_DELAY_S = 20.0  # from a job's first unrecorded completion to the write of its bitmap
 # The bitmap is written sooner when many tasks of a job complete: until a task's completion is
@@ -79,7 +79,7 @@
 
     Attributes:
         leader_version: version of the leader key when this leader took it.
-        on_written: called after each flush.
+        on_written: called after each flush that succeeded.
         on_starts_logged: called with the hosts whose starts are durable in the start log, and
             may be commanded.
         flush_gap_s: pause after each transaction.
@@ -406,7 +406,8 @@
     def _order_changes(self, txn: Txn, limit: int) -> dict[OrderId, OrderProgress | None]:
         """Add as much progress as fits, and return it.
 
-        An order without progress is deleted together with the record of its progress.
+        Where the progress to be written is None, the order and the record of its progress are
+        deleted.
         """
         taken: dict[OrderId, OrderProgress | None] = {}
         for order, progress in self.order_progress.items():
@@ -433,7 +434,7 @@
         return sum(key.startswith(records.STARTS) for key in txn.puts)
 
     def _log_starts(self, txn: Txn, slots: int) -> list[Run]:
-        """Write planned starts into at most ``slots`` next slots of the start log; return them.
+        """Write planned starts into the next slots of the log, at most ``slots``; return them.
 
         The tasks that a slot held before stay in it if they may still be on their hosts.
         """
--- a/dunehold/coordination/zones/health.py
+++ b/dunehold/coordination/zones/health.py
@@ -46,6 +46,7 @@
 
     @property
     def silent(self) -> bool:
+        """Whether so many of these machines are silent that the kind counts as silent."""
         return self.machines - self.heard >= SILENT_SHARE * self.machines
 
 
@@ -67,14 +68,17 @@
 
     @property
     def machines(self) -> int:
+        """Machines in the zone that should report."""
         return sum(kind.machines for kind in self.kinds)
 
     @property
     def heard(self) -> int:
+        """Machines in the zone that have reported lately."""
         return sum(kind.heard for kind in self.kinds)
 
     @property
     def silent(self) -> bool:
+        """Whether the zone has machines and every kind of them is silent."""
         return bool(self.kinds) and all(kind.silent for kind in self.kinds)
 
     @property
@@ -100,7 +104,8 @@
         condition: the present condition.
         since: when the condition began.
         flaps: losses while recovering, without those before a pause of ``FLAP_RESET_S``.
-        size: machines in the zone when it was last healthy.
+        healthy_host_count: machines that were expected to report when the zone was last
+            healthy.
     """
 
     confirm_s: float
@@ -108,7 +113,7 @@
     condition: ZoneCondition = ZoneCondition.HEALTHY
     since: MonotonicTime = MonotonicTime(-1e9)
     flaps: int = 0
-    size: int = 0
+    healthy_host_count: int = 0
     _flapped_at: MonotonicTime = field(default=MonotonicTime(-1e9))
 
     @property
@@ -117,13 +122,17 @@
         return float(min(MAX_TRUST_DELAY_S, self.trust_s * 2**self.flaps))
 
     def restore(
-        self, condition: ZoneCondition, flaps: int, size: int, now: MonotonicTime
+        self, condition: ZoneCondition, flaps: int, healthy_host_count: int, now: MonotonicTime
     ) -> None:
         """Sets the condition that a previous leader recorded.
 
         Its times were of another clock, so the condition counts from ``now``.
         """
-        self.condition, self.flaps, self.size = condition, min(flaps, MAX_FLAPS), size
+        self.condition, self.flaps, self.healthy_host_count = (
+            condition,
+            min(flaps, MAX_FLAPS),
+            healthy_host_count,
+        )
         self.since = self._flapped_at = now
 
     def update(self, seen: Evidence, now: MonotonicTime) -> bool:
@@ -132,7 +141,7 @@
             self.flaps = 0
         after = self._next_condition(seen, now)
         if self.condition is ZoneCondition.HEALTHY and after is ZoneCondition.HEALTHY:
-            self.size = seen.machines
+            self.healthy_host_count = seen.machines
         if after is self.condition:
             return False
         if after is ZoneCondition.LOST and self.condition is ZoneCondition.RECOVERING:
--- a/dunehold/coordination/zones/monitor.py
+++ b/dunehold/coordination/zones/monitor.py
@@ -170,8 +170,8 @@
         # In a zone that is not healthy, a machine that does not boot is evidence of the loss.
         if self.zones[host.zone].condition is ZoneCondition.HEALTHY:
             return False
-        kind = self.types.get(host.type)
-        return kind is not None and now - host.created_at > 2 * kind.boot_s
+        machine_type = self.types.get(host.type)
+        return machine_type is not None and now - host.created_at > 2 * machine_type.boot_s
 
     async def poll_peers(self) -> None:
         """Polls the controllers of zones that are not healthy until it is cancelled.
@@ -194,7 +194,7 @@
         These are the zones that are lost, recovering or have flapped.
         """
         return {
-            zone: ZoneRecord(health.condition, health.flaps, health.size)
+            zone: ZoneRecord(health.condition, health.flaps, health.healthy_host_count)
             for zone, health in self.zones.items()
             if health.condition in (ZoneCondition.LOST, ZoneCondition.RECOVERING)
             or health.flaps
@@ -208,10 +208,12 @@
         return health.condition if health is not None else ZoneCondition.HEALTHY
 
     def is_lost(self, zone: Zone) -> bool:
+        """Tells whether the zone is lost."""
         return self.condition(zone) is ZoneCondition.LOST
 
     @property
     def any_lost(self) -> bool:
+        """Whether any zone is lost."""
         return any(health.condition is ZoneCondition.LOST for health in self.zones.values())
 
     def is_relayed(self, zone: Zone, now: MonotonicTime) -> bool:
@@ -245,7 +247,7 @@
                 and health.since > saw_since
                 and zone in nodes
                 and self.is_relayed(zone, now)
-                and health.size > HANDOVER_SIZE_RATIO * max(heard, 1)
+                and health.healthy_host_count > HANDOVER_SIZE_RATIO * max(heard, 1)
             ):
                 return zone
         return None
@@ -275,7 +277,7 @@
             return UNBOUNDED
         if health.condition is not ZoneCondition.RECOVERING:
             return 0
-        step = max(MIN_RAMP_STEP_HOSTS, int(RAMP_STEP_SHARE * health.size))
+        step = max(MIN_RAMP_STEP_HOSTS, int(RAMP_STEP_SHARE * health.healthy_host_count))
         booting = sum(
             host.zone == zone
             and not host.up
@@ -344,7 +346,7 @@
         return host.last_heard_at <= NEVER_HEARD, host.spot, self._price(host), host.id
 
     def _price(self, host: Host) -> float:
-        kind = self.types.get(host.type)
-        if kind is None:
+        machine_type = self.types.get(host.type)
+        if machine_type is None:
             return float(UNBOUNDED)
-        return kind.spot_price if host.spot else kind.price
+        return machine_type.spot_price if host.spot else machine_type.price
