--- a/dunehold/budgets.py
+++ b/dunehold/budgets.py
@@ -72,6 +72,7 @@
         return self.teams.get(team, self.default)
 
 
+# Fields of DisruptionBudget that may be a number or a share.
 AMOUNT_FIELDS = ("tasks", "cpus", "replicas", "least_up")
 
 
--- a/dunehold/coordination/users/__init__.py
+++ b/dunehold/coordination/users/__init__.py
@@ -1,1 +1,1 @@
-"""The users' API, which every node serves: submissions, queries and cancellations."""
+"""The users' API, which every node serves, and the statistics of the work done for users."""
--- a/dunehold/coordination/users/job_api.py
+++ b/dunehold/coordination/users/job_api.py
@@ -40,7 +40,7 @@
 NOT_FOUND = Response(404, users.encode_error("no such job"))
 MAX_RETRY_S = 10  # upper bound of Retry-After
 MAX_CANCEL_QUEUE_S = 3  # for the write rate limiter, of the 5 s that a user waits
-MAX_CANCEL_ATTEMPTS = 4
+MAX_CANCEL_ATTEMPTS = 4  # each fails if the record changes between reading and writing
 
 
 class Unschedulable(Exception):
@@ -69,9 +69,11 @@
                 f"{name}: needs {amount * count:g} at once, the team's limit is {limit:g}"
             )
     zones = set()
-    for kind in types.values():
-        for zone in kind.zones:
-            if host_allowed(spec, kind.name, zone, False) and kind.capacity.holds(need):
+    for machine_type in types.values():
+        for zone in machine_type.zones:
+            if host_allowed(
+                spec, machine_type.name, zone, False
+            ) and machine_type.capacity.holds(need):
                 zones.add(zone)
     if not zones:
         raise Unschedulable("no allowed machine type has enough room for a task")
--- a/dunehold/coordination/users/served.py
+++ b/dunehold/coordination/users/served.py
@@ -87,17 +87,20 @@
         tally.cpu_s += _estimated_cpu_s(spec)
         tally.served_cpu_s += _estimated_cpu_s(spec)
         waited_s = record.eligible_at - record.accepted_at
-        limits = [
+        targets_s = [
             completion_target_s(objective, spec, waited_s)
             for objective in self.settings.objectives
         ]
-        known = [limit for limit in limits if limit is not None]
-        if known:
+        job_targets_s = [target_s for target_s in targets_s if target_s is not None]
+        if job_targets_s:
             tally.timed += 1
-            tally.in_time += self.wall() - record.eligible_at <= min(known)
+            tally.in_time += self.wall() - record.eligible_at <= min(job_targets_s)
 
     def summary(self) -> dict[str, Any]:
-        """The answer to operators: zones, and counts by class and team with active jobs."""
+        """The answer to operators: counts by class and team, and the condition of each zone.
+
+        Active jobs are included, except services.
+        """
         classes = {name: _copy(tally) for name, tally in self.classes.items()}
         teams = {name: _copy(tally) for name, tally in self.teams.items()}
         for job, spec in self._open.items():
--- a/dunehold/coordination/users/submissions.py
+++ b/dunehold/coordination/users/submissions.py
@@ -152,61 +152,61 @@
     async def _flush(self) -> None:
         """Writes pending submissions until none is left."""
         while self._pending:
-            batch: _SubmissionTxn | None = None
+            prepared: _SubmissionTxn | None = None
             try:
                 acquired = self._awaited_writes = self._write_count()
                 # Submissions that arrive during this wait share the acquired writes.
                 await self.state.write_limiter.acquire(RequestPriority.USER, acquired)
                 self._awaited_writes = 0
-                batch = self._build(acquired)
-                self.state.write_limiter.refund(acquired - batch.txn.size)
-                if batch.entries:
-                    await self._commit(batch)
+                prepared = self._build(acquired)
+                self.state.write_limiter.refund(acquired - prepared.txn.size)
+                if prepared.entries:
+                    await self._commit(prepared)
             except Malformed as error:
                 log.error(
                     "transaction with %d submissions rejected as invalid: %s; "
                     "several are retried one by one, a single one gets status 503",
-                    len(batch.entries) if batch else 0,
+                    len(prepared.entries) if prepared else 0,
                     error,
                 )
-                self._isolate_all(batch)
+                self._isolate_all(prepared)
             except STATE_SERVICE_ERRORS as error:
                 log.info(
                     "submissions not written: %s; users get status 503 and may retry", error
                 )
-                self._resolve_all(batch, None)
+                self._resolve_all(prepared, None)
             except Exception:
                 log.exception(
                     "submissions not written because of an unexpected error; users get 503"
                 )
-                self._resolve_all(batch, None)
+                self._resolve_all(prepared, None)
 
-    async def _commit(self, batch: _SubmissionTxn) -> None:
+    async def _commit(self, prepared: _SubmissionTxn) -> None:
         """Sends a transaction and resolves its submissions.
 
         If it failed, those whose job is still unknown stay pending for the next transaction.
         """
         asked = asyncio.get_running_loop().time()
-        result = await self.state.txn(batch.txn, RequestPriority.USER, pre_acquired=True)
-        if not result.ok or batch.read_back:
+        result = await self.state.txn(prepared.txn, RequestPriority.USER, pre_acquired=True)
+        if not result.ok or prepared.read_back:
             asked = asyncio.get_running_loop().time()
             await self.sync.barrier()
-        for entry in batch.entries:
+        for entry in prepared.entries:
             job = entry.spec.id
             if result.ok:
-                self._resolve(entry, self._was_created_here(batch, job), asked)
+                self._resolve(entry, self._was_created_here(prepared, job), asked)
             elif job in self.view.jobs:
                 self._resolve(entry, False, asked)
 
-    def _was_created_here(self, batch: _SubmissionTxn, job: JobId) -> bool:
-        if not batch.read_back:
+    def _was_created_here(self, prepared: _SubmissionTxn, job: JobId) -> bool:
+        if not prepared.read_back:
             return True
         record = self.view.jobs.get(job)
         if record is None or record.phase.final:
             # The record of an ended job does not tell which node accepted it, so the job
             # counts as known and its user gets its state.
             return False
-        return record.batch_key == batch.batch_of.get(job)
+        return record.batch_key == prepared.batch_of.get(job)
 
     def _batched_write_count(self) -> int:
         """Number of writes for all pending submissions and one more of average size."""
@@ -254,23 +254,23 @@
 
     def _build_singles(self, waiting: Iterable[_Submission], most: int) -> _SubmissionTxn:
         """Builds a transaction that gives each of at most ``most`` jobs a key of its own."""
-        batch = _SubmissionTxn(Txn(), [], read_back=self.view.batching_enabled)
+        prepared = _SubmissionTxn(Txn(), [], read_back=self.view.batching_enabled)
         size = 0
         for entry in waiting:
             size += entry.size_bytes + KEY_OVERHEAD_BYTES
-            if batch.entries and (len(batch.entries) >= most or size > MAX_TXN_BYTES):
+            if prepared.entries and (len(prepared.entries) >= most or size > MAX_TXN_BYTES):
                 break
             key = records.job_key(entry.spec.id)
-            batch.txn.guards[key] = ABSENT
-            batch.txn.puts[key] = records.encode_job_record(
+            prepared.txn.guards[key] = ABSENT
+            prepared.txn.puts[key] = records.encode_job_record(
                 entry.spec, JobPhase.ACTIVE, entry.accepted_at
             )
-            batch.entries.append(entry)
-        if batch.entries:
+            prepared.entries.append(entry)
+        if prepared.entries:
             # Batching may be enabled without this node knowing it yet, and a batch of another
             # node may hold these jobs. Then the guard fails.
-            self._guard_mode(batch.txn)
-        return batch
+            self._guard_mode(prepared.txn)
+        return prepared
 
     def _guard_mode(self, txn: Txn) -> None:
         """Makes the transaction fail if the batching mode is not the one in the view."""
@@ -284,7 +284,7 @@
         Similar jobs stand next to each other, because a row holds only the fields that differ
         from the row before. ``waiting`` holds the oldest submissions.
         """
-        batch = _SubmissionTxn(Txn(), [], read_back=True)
+        prepared = _SubmissionTxn(Txn(), [], read_back=True)
         waiting = sorted(waiting, key=lambda e: (e.spec.team, e.spec.job_class, e.accepted_at))
         builder, name = JobBatchBuilder(self._value_room_bytes), self._next_name()
         batch_bytes = separate_bytes = 0
@@ -294,29 +294,29 @@
                 if not builder.rows:
                     entry.isolated = True  # too large to share a value
                     continue
-                batch_bytes += self._close(batch.txn, name, builder)
-                if len(batch.txn.puts) >= most:
+                batch_bytes += self._close(prepared.txn, name, builder)
+                if len(prepared.txn.puts) >= most:
                     break  # the rest waits for the next transaction
                 builder, name = JobBatchBuilder(self._value_room_bytes), self._next_name()
                 if not builder.add(row):
                     entry.isolated = True
                     continue
             separate_bytes += entry.size_bytes
-            batch.entries.append(entry)
-            batch.batch_of[entry.spec.id] = name
+            prepared.entries.append(entry)
+            prepared.batch_of[entry.spec.id] = name
         else:
             if builder.rows:
-                batch_bytes += self._close(batch.txn, name, builder)
-        if batch.entries:
+                batch_bytes += self._close(prepared.txn, name, builder)
+        if prepared.entries:
             # A transaction that is applied after batching was disabled must fail, because other
             # nodes then give jobs keys of their own without reading them back.
-            self._guard_mode(batch.txn)
+            self._guard_mode(prepared.txn)
             if not self.view.batching_enabled:
-                batch.txn.puts[records.BATCHING_ENABLED] = True
+                prepared.txn.puts[records.BATCHING_ENABLED] = True
             self._compression_ratio = min(
                 1.0, max(MIN_COMPRESSION_RATIO, batch_bytes / separate_bytes)
             )
-        return batch
+        return prepared
 
     def _close(self, txn: Txn, name: str, builder: JobBatchBuilder) -> int:
         """Adds a finished batch to the transaction and returns its size in bytes."""
@@ -331,19 +331,19 @@
 
     # -- outcomes ---
 
-    def _isolate_all(self, batch: _SubmissionTxn | None) -> None:
+    def _isolate_all(self, prepared: _SubmissionTxn | None) -> None:
         """Makes each submission of a rejected transaction be written on its own.
 
         The state service does not say which of them is invalid; this way only that one fails.
         """
-        if batch is None or len(batch.entries) <= 1:
-            self._resolve_all(batch, None)
+        if prepared is None or len(prepared.entries) <= 1:
+            self._resolve_all(prepared, None)
             return
-        for entry in batch.entries:
+        for entry in prepared.entries:
             entry.isolated = True
 
-    def _resolve_all(self, batch: _SubmissionTxn | None, created: bool | None) -> None:
-        for entry in list(self._pending.values()) if batch is None else batch.entries:
+    def _resolve_all(self, prepared: _SubmissionTxn | None, created: bool | None) -> None:
+        for entry in list(self._pending.values()) if prepared is None else prepared.entries:
             self._resolve(entry, created)
 
     def _resolve(
--- a/dunehold/operator_commands.py
+++ b/dunehold/operator_commands.py
@@ -178,7 +178,7 @@
         status, data = asyncio.run(client.request(method, target, body, options.timeout))
         row = codec.load_object(data)
     except (NoResponse, BadMessage) as error:
-        # Sent again with its id, an order that was taken is not taken twice.
+        # The order may have been accepted; with the same id it can be sent again safely.
         again = f" with --id {order.id}" if options.command in ("drain", "replace") else ""
         print(
             f"dunehold: {options.server}: no answer ({error}); try again{again}",
--- a/dunehold/protocol/cloud.py
+++ b/dunehold/protocol/cloud.py
@@ -47,8 +47,8 @@
     capacity: Resources
     cache_gb: float  # room for images
     fetch_gb_per_s: float  # rate at which images are fetched
-    price: float
-    spot_price: float
+    price: float  # of an ordinary machine, per hour
+    spot_price: float  # of a spot machine, per hour
     boot_s: Duration
     zones: tuple[Zone, ...]  # where it is offered
 
--- a/dunehold/protocol/operators.py
+++ b/dunehold/protocol/operators.py
@@ -43,6 +43,7 @@
     ABORT = "abort"
 
 
+# Actions that the operators' API has for an existing order, and the states they request.
 ACTIONS = {
     "pause": DesiredState.PAUSE,
     "resume": DesiredState.PROCEED,
@@ -147,7 +148,9 @@
         kind = OrderKind(codec.text(given, "kind"))
         desired_state = DesiredState(given.get("wish", "go"))
     except ValueError:
-        raise BadMessage("kind must be drain or replace") from None
+        raise BadMessage(
+            "kind must be drain or replace, and wish, if given, go, pause or abort"
+        ) from None
     selection = Selection(
         tuple(HostId(name) for name in decode_texts(given, "hosts")),
         tuple(TypeName(name) for name in decode_texts(given, "types")),
--- a/dunehold/protocol/peers.py
+++ b/dunehold/protocol/peers.py
@@ -14,13 +14,13 @@
 from dunehold.transport.http import Client
 from dunehold.types import JobId, Revision
 
-RUNNING_PATH = "/peer/running"
-PEER_STATUS_PATH = "/peer/proof"
+RUNNING_PATH = "/peer/running"  # the leader's counts of tasks on machines
+PEER_STATUS_PATH = "/peer/proof"  # a ``PeerStatus``
 SERVED_PATH = "/peer/served"  # service statistics, for operators
 # Followed by a job's id: the dependencies that it waits for. Used by the command line.
 DEPENDENCIES_PATH = "/peer/waits/"
 MAINTENANCE_PATH = "/peer/upkeep"  # the leader's progress with each order
-MAX_AGE_S = 1e9  # upper bound, since JSON can't hold an infinite age
+MAX_AGE_S = 1e9  # upper bound of a sent age, since JSON can't hold an infinite age
 
 
 def encode_running(running: dict[JobId, int]) -> bytes:
--- a/dunehold/protocol/state.py
+++ b/dunehold/protocol/state.py
@@ -100,6 +100,7 @@
 
     @property
     def ok(self) -> bool:
+        """Whether the writes were applied."""
         return not self.failed
 
 
@@ -124,7 +125,8 @@
     """Sends requests to the state service within this node's share of the rate limits.
 
     Besides the errors that a method names, every method raises Unavailable if the service
-    refused the request (429 or 503) and NoResponse if no valid answer came in time.
+    refused the request (429 or 503), NoResponse if no valid answer came in time, and BadMessage
+    if a field of the answer is malformed.
     """
 
     client: Client
--- a/dunehold/protocol/users.py
+++ b/dunehold/protocol/users.py
@@ -211,4 +211,5 @@
 
 
 def encode_error(reason: str) -> bytes:
+    """Encodes the body of an answer that refuses a request."""
     return codec.dump({"error": reason})
--- a/dunehold/settings.py
+++ b/dunehold/settings.py
@@ -19,6 +19,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Address:
+    """Host and port of a TCP endpoint."""
+
     host: str
     port: int
 
@@ -55,8 +57,8 @@
     kind: str  # wait, guarantee, finished or deadline
     job_class: str  # * if the objective names no class
     share: float  # part of the jobs or tasks that should meet it
-    within_s: Duration
-    times: float  # of the deadline
+    within_s: Duration  # time limit; kind deadline uses the deadline of the job instead
+    times: float  # factor on that deadline
 
 
 @dataclass(frozen=True, slots=True)
@@ -68,16 +70,17 @@
 
     leader_lease_s: float = 3.0  # lifetime of the leader lease
     leader_renew_s: float = 0.8  # interval between its renewals
-    schedule_interval_s: float = 0.1  # least time between two plans
+    schedule_interval_s: float = 0.1  # minimum time between two plans
     headroom_share: float = 0.1  # kept in the fleet beyond the recent peak of wanted CPUs
-    idle_reserve_share: float = 0.06  # of all CPUs, left free by jobs of the lowest priority
+    # Maximum share of the CPUs that jobs of the lowest priority leave free for other jobs.
+    idle_reserve_share: float = 0.06
     demand_memory_s: float = 40.0  # how far back the recent peak of wanted CPUs reaches
     idle_return_s: float = 20.0  # a machine idle for this long may be returned
     silent_return_s: float = 45.0  # a machine not heard from for this long may be returned
-    boot_patience: float = 4.0  # boot times of its type until a machine has failed to come up
-    capacity_retry_s: float = 20.0  # after a refusal, before the same offer is tried again
-    sick_after_errors: int = 2  # errors in a row that quarantine a machine
-    move_budget: int = 4  # moves from checkpoints in one plan
+    boot_patience: float = 4.0  # boot times of its type until a machine is given up
+    capacity_retry_s: float = 20.0  # until an offer that the cloud lacked is tried again
+    sick_after_errors: int = 2  # failures since the last success that quarantine a machine
+    move_budget: int = 4  # most moves from checkpoints in one plan
     spot_allowed: int = 1  # rent spot machines
     reservation: int = 1  # number of jobs at the head of the queue that get a reservation
     backfill: int = 1
--- a/dunehold/transport/http.py
+++ b/dunehold/transport/http.py
@@ -21,10 +21,12 @@
 READ_CHUNK_BYTES = 64 * 1024
 REQUEST_TIMEOUT_S = 20.0  # to receive a request once it has begun, and to send a response
 LISTEN_BACKLOG = 512  # connections that the kernel queues until they are accepted
+# The response to a connection that is not admitted.
 OVERLOADED_RESPONSE = (
     b"HTTP/1.1 503 Service Unavailable\r\nContent-Type: application/json\r\n"
     b"Content-Length: 2\r\nRetry-After: 1\r\nConnection: close\r\n\r\n{}"
 )
+# Reason phrases by status; the other responses have none.
 REASONS = {200: b"OK", 201: b"Created", 421: b"Misdirected Request", 422: b"Unprocessable"}
 
 
--- a/dunehold/types.py
+++ b/dunehold/types.py
@@ -56,16 +56,19 @@
     memory_gb: float
 
     def plus(self, other: Resources) -> Resources:
+        """Returns the sum of both, per resource."""
         return Resources(
             self.cpus + other.cpus, self.gpus + other.gpus, self.memory_gb + other.memory_gb
         )
 
     def minus(self, other: Resources) -> Resources:
+        """Returns what is left without ``other``; an amount may be negative."""
         return Resources(
             self.cpus - other.cpus, self.gpus - other.gpus, self.memory_gb - other.memory_gb
         )
 
     def times(self, number: int) -> Resources:
+        """Returns the resources for ``number`` such needs."""
         return Resources(self.cpus * number, self.gpus * number, self.memory_gb * number)
 
     def holds(self, need: Resources) -> bool:
@@ -144,14 +147,14 @@
     """Why a task exited."""
 
     DONE = "done"
-    STOPPED = "stopped"
+    STOPPED = "stopped"  # by a command
     ERROR = "error"
-    NO_ROOM = "no_room"
-    BUSY = "busy"
+    NO_ROOM = "no_room"  # it does not fit on the machine
+    BUSY = "busy"  # another attempt of the same task is still on the machine
     GANG_MEMBER_LOST = "peers"  # another task of its gang was lost
     GANG_INCOMPLETE = "alone"  # not all tasks of its gang were ready in time
-    UNKNOWN = "unknown"
-    OTHER = "other"
+    UNKNOWN = "unknown"  # the worker has no description of the job
+    OTHER = "other"  # a reason that this version does not know
 
 
 class Tier(IntEnum):
