--- a/dunehold/emulator/agents/external_services.py
+++ b/dunehold/emulator/agents/external_services.py
@@ -441,8 +441,9 @@
     workers: dict[str, WorkerAgent] = field(default_factory=dict)  # host name -> its worker
     lost_tasks: int = 0  # tasks that were on machines when these went away
     requests_served: int = 0
-    # Called before the worker of a new machine starts, and with the name of a lost machine.
+    # Called with the worker of a new machine before it starts.
     on_host_up: Callable[[WorkerAgent], None] = lambda _: None
+    # Called with the name of a machine that is gone.
     on_host_gone: Callable[[str], None] = lambda _: None
     _killed_on_gone_hosts: int = 0  # ``killed_tasks`` of machines that are gone
     _reports_of_gone_hosts: int = 0  # ``reports`` of machines that are gone
--- a/dunehold/emulator/check.py
+++ b/dunehold/emulator/check.py
@@ -366,7 +366,8 @@
         self._mark_accepted(job)
         if phase in FINAL_PHASES:
             job.final_phases.add(phase)
-        # An answer to an earlier question may still say that the job is not over.
+        # The answer to a request that was sent before the job ended may still show an earlier
+        # phase.
         contradicts = phase in FINAL_PHASES or data.get("asked", self._now) >= job.final_at
         if job.final_phase is not None and phase != job.final_phase and contradicts:
             self._record_breach("went_back", f"{uid}: {job.final_phase}, then {phase}")
@@ -416,11 +417,11 @@
         if job is None or job.accepted_at is None or job.unanswered_since is None:
             return
         answered = sum(good for _, good in self._polls)
-        calm = self.calm_since is not None and (
+        past_calm_limit = self.calm_since is not None and (
             self._now - max(job.unanswered_since, self.calm_since) >= CALM_UNANSWERED_LIMIT_S
         )
-        unheard = self._now - job.unanswered_since >= UNANSWERED_LIMIT_S
-        if calm or (unheard and answered > len(self._polls) / 2):
+        past_limit = self._now - job.unanswered_since >= UNANSWERED_LIMIT_S
+        if past_calm_limit or (past_limit and answered > len(self._polls) / 2):
             self._record_breach(
                 "forgotten", f"{uid}: unanswered since {job.unanswered_since:.0f}"
             )
@@ -442,33 +443,33 @@
 
     def _on_task_started(self, data: dict[str, Any]) -> None:
         self.starts += 1
-        item = data["item"]
-        uid = item.rpartition("/")[0]
+        task_id = data["item"]
+        uid = task_id.rpartition("/")[0]
         placement = Placement(data["attempt"], data["host"], data["flavour"], data["hall"])
-        others = self.placements.setdefault(item, [])
+        others = self.placements.setdefault(task_id, [])
         if others:
             where = [other.host for other in others]
-            self._record_breach("ran_twice", f"{item} on {placement.host} and {where}")
+            self._record_breach("ran_twice", f"{task_id} on {placement.host} and {where}")
         others.append(placement)
         job = self.jobs.get(uid)
         if job is None:
-            self._record_breach("invented", f"{item} started")
+            self._record_breach("invented", f"{task_id} started")
             return
         if job.started_at is None:
             job.started_at = self._now
         for need in job.row.get("awaits") or ():
             needed = self.jobs.get(need)
             if needed is None or len(needed.completed) < needed.row["units"]:
-                self._record_breach("too_early", f"{item} starts before {need} is done")
+                self._record_breach("too_early", f"{task_id} starts before {need} is done")
         zones = self._task_zones.setdefault(uid, Counter())
         zones[placement.zone] += 1
         self._add_usage(job.row, 1, placement.host)
         self._check_quota(job.row["owner"])
-        self._check_placement(item, job.row, placement, data["loaner"], zones)
+        self._check_placement(task_id, job.row, placement, data["loaner"], zones)
         if job.final_phase == "cancelled":
             self.starts_after_cancel += 1
             if self._now > job.final_at + self.cancel_s:
-                self._record_breach("ran_cancelled", f"{item} starts")
+                self._record_breach("ran_cancelled", f"{task_id} starts")
 
     def _add_usage(self, row: dict[str, Any], sign: int, host: str) -> None:
         need = _task_resources(row)
@@ -497,7 +498,7 @@
 
     def _check_placement(
         self,
-        item: str,
+        task_id: str,
         row: dict[str, Any],
         placement: Placement,
         spot: bool,
@@ -508,15 +509,15 @@
         ``zones`` counts the job's tasks on machines by zone, with the started one.
         """
         if row.get("flavours") and placement.machine_type not in row["flavours"]:
-            self._record_breach("wrong_place", f"{item} on type {placement.machine_type}")
+            self._record_breach("wrong_place", f"{task_id} on type {placement.machine_type}")
         if row.get("hall") and placement.zone != row["hall"]:
-            self._record_breach("wrong_place", f"{item} in zone {placement.zone}")
+            self._record_breach("wrong_place", f"{task_id} in zone {placement.zone}")
         if spot and not row.get("loaner"):
-            self._record_breach("wrong_place", f"{item} on a spot machine")
+            self._record_breach("wrong_place", f"{task_id} on a spot machine")
         if row.get("together") and sum(1 for n in zones.values() if n) > 1:
-            self._record_breach("wrong_place", f"{item}: its job is in two zones")
+            self._record_breach("wrong_place", f"{task_id}: its job is in two zones")
         if row.get("spread") and zones[placement.zone] > (row["units"] + 1) // 2:
-            self._record_breach("wrong_place", f"{item}: too many in {placement.zone}")
+            self._record_breach("wrong_place", f"{task_id}: too many in {placement.zone}")
 
     def _on_task_ended(self, data: dict[str, Any]) -> None:
         attempts = self.placements.get(data["item"], [])
--- a/dunehold/emulator/commands.py
+++ b/dunehold/emulator/commands.py
@@ -26,6 +26,7 @@
 
 EXIT_FAILED = 1  # the command failed, or the run broke a rule
 EXIT_USAGE = 2  # a mistake in an option or a file
+# The job that ``dunehold up`` writes to first-job.json, with a team of its scenario as owner.
 EXAMPLE_JOB = {
     "uid": "job-000001", "jobclass": "first", "owner": "blue", "shape": "batch",
     "rank": "normal", "units": 8, "vcpus": 1.0, "gpus": 0.0, "memory_gb": 1.0,
@@ -39,16 +40,16 @@
     """Adds the emulator's commands to the subparsers of the command line."""
     up = commands.add_parser("up", help="start a small but complete cluster on this machine")
     up.add_argument("scenario", nargs="?", type=Path, help="scenario file (default: built in)")
-    play = commands.add_parser("emulate", help="run a scenario on this machine")
-    play.add_argument("scenario", type=Path, help="scenario file (TOML)")
-    play.add_argument("--seed", type=int, default=None, help="replaces the scenario's seed")
-    play.add_argument(
+    emulate = commands.add_parser("emulate", help="run a scenario on this machine")
+    emulate.add_argument("scenario", type=Path, help="scenario file (TOML)")
+    emulate.add_argument("--seed", type=int, default=None, help="replaces the scenario's seed")
+    emulate.add_argument(
         "--replay",
         type=Path,
         default=None,
         help="faults.jsonl of an earlier run, whose faults are injected instead",
     )
-    for command in (up, play):
+    for command in (up, emulate):
         command.add_argument("--directory", type=Path, default=None, help="for logs and data")
         command.add_argument(
             "--net", type=int, default=77, help="addresses 127.NET.*.* are used (default 77)"
--- a/dunehold/emulator/disk_storage.py
+++ b/dunehold/emulator/disk_storage.py
@@ -27,7 +27,7 @@
 
     directory: Path
     map_bytes: int = MAP_BYTES
-    commits: int = 0
+    commits: int = 0  # since this object was created
     _env: Any = field(init=False)
     _rows: Any = field(init=False)
     _leases: Any = field(init=False)
--- a/dunehold/emulator/faults.py
+++ b/dunehold/emulator/faults.py
@@ -124,7 +124,9 @@
     """Delays controllers' commands to some machines."""
 
     delay_s: float
-    count: int = 1  # commands for each machine, and machines if hosts is empty
+    # Commands that are delayed for each machine. If ``hosts`` is empty, this is also the number
+    # of machines, which are the first ones by name.
+    count: int = 1
     hosts: list[str] = []
 
 
--- a/dunehold/emulator/history.py
+++ b/dunehold/emulator/history.py
@@ -42,7 +42,7 @@
 
 @dataclass(slots=True)
 class History:
-    """Records events: in memory (``keep``), as JSON lines in ``sink``, and to listeners."""
+    """Keeps events in memory if ``keep``, writes JSON lines to ``sink``, calls listeners."""
 
     clock: Callable[[], float]
     sink: IO[bytes] | None = None
--- a/dunehold/emulator/measure.py
+++ b/dunehold/emulator/measure.py
@@ -89,7 +89,7 @@
             return
         except NoResponse:
             await asyncio.sleep(0.1)
-    raise SystemExit("the state service did not answer 100 tries; stopped")
+    raise SystemExit("the state service did not answer any of 100 requests")
 
 
 async def _measure_reports(workers: int) -> tuple[float, float]:
--- a/dunehold/emulator/model/balancer.py
+++ b/dunehold/emulator/model/balancer.py
@@ -22,7 +22,7 @@
 EJECTION_HISTORY_S = 120.0  # older ejections do not lengthen the next one
 SLOW_START_S = 10.0  # time in which a recovered backend reaches its full weight
 RESET_UNHEALTHY_AFTER_S = 5.0
-LONG_AGO_S = -1e18
+LONG_AGO_S = -1e18  # initial value of times, before every event
 
 
 @dataclass(slots=True)
@@ -40,7 +40,10 @@
     consecutive_failures: int = 0  # failed connections in a row
 
     def min_ejection_s(self, now: float) -> float:
-        """Minimum time out of service; doubles with each ejection of the last two minutes."""
+        """Minimum time out of service.
+
+        It doubles with each earlier ejection of the last ``EJECTION_HISTORY_S``.
+        """
         recent = sum(now - at <= EJECTION_HISTORY_S for at in self.ejected_at)
         return min(MAX_EJECTION_S, MIN_EJECTION_S * 2.0 ** max(0, recent - 1))
 
--- a/dunehold/emulator/model/cloud.py
+++ b/dunehold/emulator/model/cloud.py
@@ -42,7 +42,7 @@
 MAX_SPOT_PRICE_DEVIATION_SHARE = 1 / 3  # share of the nominal spot price
 RATE_BURST_S = 2.0  # requests of this many seconds may arrive at once
 MIN_BILLED_S = 60.0  # a machine that has not failed is billed for at least this time
-NEVER_S = 1e18
+NEVER_S = 1e18  # time of an event that is not scheduled
 
 
 class HostKind(NamedTuple):
--- a/dunehold/emulator/model/store.py
+++ b/dunehold/emulator/model/store.py
@@ -83,6 +83,7 @@
     def commit(
         self, revision: int, rows: dict[str, Row | None], leases: dict[int, int | None]
     ) -> None:
+        """Discards the changes."""
         pass
 
 
--- a/dunehold/emulator/model/worker.py
+++ b/dunehold/emulator/model/worker.py
@@ -40,7 +40,7 @@
 REPORT_TIMEOUT_S = 4.0
 NEXT_NODE_DELAY_S = 1.0  # pause before the next node is tried without a redirect
 FAULTY_TASK_RUN_S = 0.3  # run time of a task that fails
-NEVER_S = 1e18
+NEVER_S = 1e18  # time of an event that is not scheduled
 
 
 class JobFacts(NamedTuple):
--- a/dunehold/emulator/objectives.py
+++ b/dunehold/emulator/objectives.py
@@ -13,7 +13,7 @@
 
 
 class ObjectiveResult(NamedTuple):
-    """One objective with the share that met it, of so many tasks or jobs."""
+    """An objective, the share of tasks or jobs that met it, and how many were counted."""
 
     objective: ObjectiveTable
     share: float  # NaN if no task or job counts
@@ -67,19 +67,19 @@
 
     @staticmethod
     def _record_task_event(job: _JobProgress, event: Event) -> None:
-        item = event.data["item"]
+        task_id = event.data["item"]
         if event.kind == "on":
-            job.running[item] = event.at
-            job.started.setdefault(item, event.at)
+            job.running[task_id] = event.at
+            job.started.setdefault(task_id, event.at)
         elif event.kind == "completed":
-            job.completed.setdefault(item, event.at)
+            job.completed.setdefault(task_id, event.at)
         else:
-            began = job.running.pop(item, event.at)
+            began = job.running.pop(task_id, event.at)
             start_ignored = (
                 event.data["why"] == "halted" and event.at - began < MIN_COUNTED_RUN_S
             )
-            if start_ignored and job.started.get(item) == began:
-                del job.started[item]
+            if start_ignored and job.started.get(task_id) == began:
+                del job.started[task_id]
 
     def results(self) -> list[ObjectiveResult]:
         """Evaluates each objective on the events so far."""
@@ -98,7 +98,9 @@
         ]
         if objective.kind == "wait":
             met = [
-                self._in_time(job, item, objective) for job in jobs for item in _task_ids(job)
+                self._in_time(job, task_id, objective)
+                for job in jobs
+                for task_id in _task_ids(job)
             ]
         elif objective.kind == "deadline":
             with_deadline = [job for job in jobs if job.row.get("due_s")]
@@ -113,8 +115,8 @@
         )
 
     @staticmethod
-    def _in_time(job: _JobProgress, item: str, objective: ObjectiveTable) -> bool:
-        return job.started.get(item, float("inf")) - job.submitted_at <= objective.within_s
+    def _in_time(job: _JobProgress, task_id: str, objective: ObjectiveTable) -> bool:
+        return job.started.get(task_id, float("inf")) - job.submitted_at <= objective.within_s
 
 
 def _task_ids(job: _JobProgress) -> list[str]:
--- a/dunehold/emulator/record.py
+++ b/dunehold/emulator/record.py
@@ -83,7 +83,10 @@
 
 
 def sample_rows(run: str, result: Result) -> Iterable[dict[str, Any]]:
-    """Yields a run's rows of ``samples.parquet``; ``controllers_`` columns are their sums."""
+    """Yields a run's rows of ``samples.parquet``.
+
+    Columns that start with ``controllers_`` are sums over all controllers.
+    """
     for sample in result.samples:
         nodes = [name for name in sample.cpu_s if name.startswith("dunehold-")]
         yield {
--- a/dunehold/emulator/scenario.py
+++ b/dunehold/emulator/scenario.py
@@ -63,8 +63,8 @@
 class WorkersTable(Table, frozen=True, kw_only=True):
     """Times of workers.
 
-    They report every ``report_s`` and kill their tasks ``lease_s`` after the last answer. A
-    cancelled job's tasks have to end within ``cancel_s``.
+    They report every ``report_s`` on average and kill their tasks ``lease_s`` after they sent
+    the last report that was answered. A cancelled job's tasks have to end within ``cancel_s``.
     """
 
     report_s: float = 2.5
@@ -132,7 +132,7 @@
 
     kind: str  # wait, deadline, finished or guarantee
     share: float = 0.9  # of tasks or jobs that have to meet it
-    within_s: float = 0.0
+    within_s: float = 0.0  # of kinds wait, finished and guarantee: the longest time
     times: float = 1.0  # of kind deadline: the multiple of due_s that is still in time
     jobclass: str = msgspec.field(default="*", name="class")  # * means all classes
 
--- a/dunehold/emulator/serve/cluster.py
+++ b/dunehold/emulator/serve/cluster.py
@@ -85,7 +85,7 @@
     _tasks: set[asyncio.Task[Any]] = field(default_factory=set)
     _history_file: Any = None
     _log_offsets: dict[str, int] = field(default_factory=dict)  # controller -> log bytes read
-    # The highest fencing token that a controller has logged so far, and its name.
+    # The highest fencing token that a controller has logged so far, and that controller's name.
     _latest_leader: tuple[int, str] = (0, "")
 
     def __post_init__(self) -> None:
@@ -265,7 +265,7 @@
         """Sends a command to the state service's process, or asks for its status.
 
         Without ``row`` it asks for the status. Returns None if there is no answer within 2 s,
-        or if its status isn't 200.
+        or if the answer's HTTP status isn't 200.
         """
         client = HttpClient(*self.addresses.state_control, 1)
         body = None if row is None else orjson.dumps(row)
--- a/dunehold/emulator/serve/config_files.py
+++ b/dunehold/emulator/serve/config_files.py
@@ -34,6 +34,7 @@
 
     Returns the paths of the controllers' files by index.
     """
+    # The emulator recognizes a controller by the address that its connections come from.
     rows = {"bind_outgoing": 1.0, **scenario.operator}
     entries = " ".join(f"({k.replace('_', '-')} {_format_number(v)})" for k, v in rows.items())
     (directory / "operator.sexp").write_text(f"(dunehold {entries})\n")
--- a/dunehold/emulator/serve/fault_injector.py
+++ b/dunehold/emulator/serve/fault_injector.py
@@ -51,7 +51,7 @@
     injected: list[AnyFault] = field(default_factory=list)  # each with its time and targets
     # Faults triggered by events, each as [fault, number of times that it may still happen].
     _triggers: list[list[Any]] = field(default_factory=list)
-    _machines_hit: set[str] = field(default_factory=set)  # machines that an event's fault chose
+    _machines_hit: set[str] = field(default_factory=set)  # by faults triggered by their events
 
     def schedule(self, planned: list[AnyFault]) -> None:
         """Schedules faults: those with ``on`` at such events, the others by time from now."""
@@ -182,11 +182,11 @@
         row = {"do": "cut", "a": fault.a, "b": fault.b, "mode": fault.mode}
         await self.cluster.control_state_service(row)
 
-        async def join() -> None:
+        async def end_partition() -> None:
             network_gate.end(fault.a, fault.b)
             await self.cluster.control_state_service({**row, "do": "join"})
 
-        self._undo_after(fault.for_s, join)
+        self._undo_after(fault.for_s, end_partition)
         return [fault.a, fault.b]
 
     async def _inject_state_fault(self, fault: StateFault) -> list[str]:
--- a/dunehold/emulator/serve/processes.py
+++ b/dunehold/emulator/serve/processes.py
@@ -1,4 +1,4 @@
-"""Child processes: starts and restarts them, signals them, and measures their usage.
+"""Starts, restarts and signals child processes, and measures their usage.
 
 Signals go only to processes that were started here: each one is identified by its own handle.
 """
@@ -114,7 +114,7 @@
 
 
 def own_usage() -> Usage:
-    """Returns CPU time and peak memory of this process, with workers, cloud and users."""
+    """Returns CPU time and peak memory of this process, which runs workers, cloud and users."""
     used = resource.getrusage(resource.RUSAGE_SELF)
     return Usage(used.ru_utime + used.ru_stime, used.ru_maxrss / 1e3)
 
--- a/dunehold/emulator/serve/runner.py
+++ b/dunehold/emulator/serve/runner.py
@@ -57,7 +57,7 @@
 
 @dataclass(slots=True)
 class Sample:
-    """What was measured at one moment of a run, ``SAMPLE_INTERVAL_S`` after the one before."""
+    """Measurements at one moment of a run, taken about every ``SAMPLE_INTERVAL_S``."""
 
     at_s: float
     machines: int
@@ -82,7 +82,8 @@
     first_start_s: list[float]  # for each job, from its submission to its first task's start
     # For each kill of a leader: its time, and the seconds until a later leader started a task.
     recoveries: list[tuple[float, float]]
-    unexpected_exits: list[tuple[str, int]]  # controllers that ended unasked, and exit codes
+    # Controllers that ended although the emulator didn't kill them, and their exit codes.
+    unexpected_exits: list[tuple[str, int]]
     samples: list[Sample]
     cost: float  # money spent on machines
     fault_times: list[float]  # seconds from the start
--- a/dunehold/emulator/serve/sockets.py
+++ b/dunehold/emulator/serve/sockets.py
@@ -27,9 +27,9 @@
 
 @dataclass(slots=True)
 class RequestDelays:
-    """Delays of single requests, each by up to minutes.
+    """Delays of single requests, which may last for minutes.
 
-    Such a request is carried out although its sender has stopped waiting for the answer.
+    A delayed request is carried out although its sender has stopped waiting for the answer.
     """
 
     # Path prefix, seconds, and the number of requests that are still to be delayed.
@@ -281,7 +281,7 @@
 async def forward_streams(
     near: StreamPair, far: StreamPair, gate: NetworkGate, a: str, b: str
 ) -> None:
-    """Forwards bytes in both directions until either side closes.
+    """Forwards bytes both ways until either side closes or a partition resets the connection.
 
     Both directions are held back while a partition holds back messages from ``a`` to ``b``.
     """
--- a/dunehold/emulator/serve/state.py
+++ b/dunehold/emulator/serve/state.py
@@ -49,7 +49,9 @@
     """Kills the process, if asked to, when a commit is on disk and before it is answered."""
 
     inner: DiskStorage
-    commits_until_crash: int = 0  # at this commit of keys from now; 0 means never
+    # How many commits of keys are left, the one that kills the process included; 0 means that
+    # none does.
+    commits_until_crash: int = 0
 
     def commit(
         self, revision: int, rows: dict[str, Row | None], leases: dict[int, int | None]
