--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,7 +1,8 @@
 """Reports failures of the tests in ``KNOWN-RED.txt`` as expected; all other tests must pass.
 
 A listed test runs like any other. Its failure is reported as an expected one, and its pass as
-an unexpected one, with the cause and the issue from the list.
+an unexpected one, with the entry's other fields from the list: the
+command and seed, what was seen, and the issue.
 """
 
 from __future__ import annotations
@@ -35,7 +36,7 @@
     report = yield
     entry = item.config.stash[KNOWN_RED_KEY].get(item.nodeid)
     if entry is not None and report.when == "call":
-        report.wasxfail = f"known red: {entry.cause} (issue {entry.issue})"
+        report.wasxfail = f"known red: {entry.describe()}"
         if report.failed:
             # pytest represents an expected failure as "skipped" with ``wasxfail`` set.
             report.outcome = "skipped"
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -8,6 +8,8 @@
 
 import pytest
 
+from tests.known_red import KnownRed, read_list
+
 ROOT = Path(__file__).resolve().parent.parent
 SUITE = """
 def test_red():
@@ -39,12 +41,17 @@
     return 0, output
 
 
-RED_LINE = "tests/test_some.py::test_red | it fails | 29\n"
+RED_FIELDS = ("tests/test_some.py::test_red", "pytest -q --seed 5", "it fails", "29")
+RED_LINE = " | ".join(RED_FIELDS) + "\n"
 
 
 def test_a_listed_failing_test_runs_and_is_printed(tmp_path: Path) -> None:
     code, output = _run_suite(tmp_path, RED_LINE)
     assert code == 0 and "it fails" in output and "1 passed, 1 xfailed" in output
+    description = "it fails (command: pytest -q --seed 5; issue 29)"
+    check_line, *pytest_lines = output.splitlines()
+    assert check_line == f"known red: {RED_FIELDS[0]}: {description}"
+    assert any(RED_FIELDS[0] in line and description in line for line in pytest_lines)
 
 
 @pytest.mark.parametrize(
@@ -52,13 +59,37 @@
     [
         "",  # the failing test is not listed
         RED_LINE * 4,  # more lines than allowed
-        RED_LINE
-        + "tests/test_some.py::test_gone | it fails | 29\n",  # a test that doesn't exist
-        "tests/test_some.py | all of it | 29\n",  # a whole file
-        "tests/test_some.py::test_red\n",  # without cause and issue
+        RED_LINE + "tests/test_some.py::test_gone | pytest | it fails | 29\n",  # no such test
+        "tests/test_some.py | pytest | all of it | 29\n",  # a whole file
+        "tests/test_some.py::test_red\n",  # only the test
+        "tests/test_some.py::test_red | it fails | 29\n",  # the earlier form of three fields
     ],
 )
 def test_the_run_fails_for_an_unlisted_failure_or_an_invalid_list(
     tmp_path: Path, listed: str
 ) -> None:
     assert _run_suite(tmp_path, listed)[0] != 0
+
+
+def test_an_entry_has_all_four_fields(tmp_path: Path) -> None:
+    path = tmp_path / "KNOWN-RED.txt"
+    path.write_text(f"\n{RED_LINE}")
+    assert read_list(path) == [KnownRed(*RED_FIELDS)]
+
+
+@pytest.mark.parametrize(
+    "fields",
+    [
+        RED_FIELDS[:1],
+        (RED_FIELDS[0], "it fails", "29"),  # the earlier form: test, cause, issue
+        (*RED_FIELDS, "more"),
+        *((*RED_FIELDS[:n], " ", *RED_FIELDS[n + 1 :]) for n in range(4)),  # an empty field
+    ],
+)
+def test_a_line_without_exactly_four_non_empty_fields_is_refused(
+    tmp_path: Path, fields: tuple[str, ...]
+) -> None:
+    path = tmp_path / "KNOWN-RED.txt"
+    path.write_text(RED_LINE + " | ".join(fields) + "\n")
+    with pytest.raises(ValueError, match="a line must be"):
+        read_list(path)
