--- a/tests/test_store_model.py
+++ b/tests/test_store_model.py
@@ -135,6 +135,7 @@
 
     @invariant()
     def changes_alone_rebuild_it(self) -> None:
+        self._expire()
         _, row = ask(
             self.store, "GET", f"/changes?starts=&after={self.seen_revision}", None, self.now
         )
@@ -157,6 +158,17 @@
 )
 
 
+def test_changes_report_the_end_of_a_lease_that_expired_since_the_last_request() -> None:
+    machine = AgainstReference()
+    machine.new_lease(100)
+    machine.txn(guards={}, right=False, puts={"a": 1}, drops=set(), grant=1)
+    machine.changes_alone_rebuild_it()
+    assert machine.rebuilt == {"a": 1}
+    machine.wait(0.5)
+    machine.changes_alone_rebuild_it()
+    assert machine.rebuilt == {}
+
+
 @pytest.mark.parametrize(
     ("row", "reason"),
     [
