--- a/tests/test_backfill.py
+++ b/tests/test_backfill.py
@@ -134,7 +134,10 @@
 
 
 def test_background_runs_that_the_reservation_would_stop_are_not_started() -> None:
-    """Guards against starting runs in room that is needed seconds later, which loses them."""
+    """Guards against starting runs in room that is needed seconds later.
+
+    This once happened to hundreds of runs, and the work of all of them was lost.
+    """
     machine = host("h", 4.0, run("r", 2, 10))
     jobs = [entry("head", 4, 9, 1), entry("long", 2, 40, 2)]
     assert not started(decide([machine], jobs))
