--- a/tests/test_backfill.py
+++ b/tests/test_backfill.py
@@ -445,7 +445,7 @@
 
 
 def test_a_slow_machine_gets_no_task_that_would_be_late_there() -> None:
-    """Guards against a few slow machines that make most arrays late.
+    """Guards against a few machines at half speed that make most arrays late.
 
     An array is as late as its last task, and most arrays have some task on such a machine.
     """
--- a/tests/test_checker.py
+++ b/tests/test_checker.py
@@ -201,11 +201,11 @@
 
 
 def add_start(
-    checker: Checker, at: float, number: int, host: str, hall: str = "a", attempt: int = 1
+    checker: Checker, at: float, number: int, host: str, zone: str = "a", attempt: int = 1
 ) -> None:
     """Let a task of job-1 start on a machine."""
     data = {"item": f"job-1/{number}", "attempt": attempt, "host": host, "flavour": "f"}
-    checker.feed(Event(at, "on", {**data, "hall": hall, "loaner": True}))
+    checker.feed(Event(at, "on", {**data, "hall": zone, "loaner": True}))
 
 
 def broken_rules(checker: Checker) -> list[str]:
--- a/tests/test_dependencies.py
+++ b/tests/test_dependencies.py
@@ -278,7 +278,7 @@
 async def no_faults(world: World) -> None: ...
 
 
-FAULT_COMBINATIONS = {
+FAULTS_BY_NAME = {
     "quiet": [no_faults],
     "crashes": [crashes],
     "cuts": [cuts],
@@ -291,11 +291,9 @@
 
 
 @pytest.mark.parametrize("seed", [300, 301])
-@pytest.mark.parametrize("combination", FAULT_COMBINATIONS)
+@pytest.mark.parametrize("combination", FAULTS_BY_NAME)
 def test_rules_hold_for_jobs_with_dependencies(combination: str, seed: int) -> None:
-    world = simulate(
-        seed, with_pipelines(*FAULT_COMBINATIONS[combination]), nodes=(3, 5)[seed % 2]
-    )
+    world = simulate(seed, with_pipelines(*FAULTS_BY_NAME[combination]), nodes=(3, 5)[seed % 2])
     dependent_jobs = [job for job in world.job_rows if job.get("awaits")]
     assert len(dependent_jobs) > 5 and world.checker.starts > 10
     if combination == "quiet":
--- a/tests/test_maintenance.py
+++ b/tests/test_maintenance.py
@@ -139,7 +139,7 @@
     derandomize=True,
     suppress_health_check=list(HealthCheck),
 )
-TestSpending = DisruptionBudgetMachine.TestCase
+TestDisruptionBudgets = DisruptionBudgetMachine.TestCase
 
 
 def test_a_new_leader_counts_the_disruptions_recorded_before_its_takeover() -> None:
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -260,7 +260,7 @@
             leading = [n for n in world.nodes if n is not process and n.node and n.node.leader]
             if leading:
                 break
-        world.counts["fed by the old"] += sum(
+        world.counts["workers not reached by the new leader"] += sum(
             a.worker.token == token for a in world.cloud.workers.values()
         )
         if leading:
@@ -274,7 +274,10 @@
 ) -> None:
     monkeypatch.setattr("tests.test_rules.World", LongTasks)
     world = simulate(seed, cut_off_leader, nodes=(3, 5)[seed % 2])
-    assert world.counts["fed by the old"] > 0 and world.counts["cancelled"] > 0
+    assert (
+        world.counts["workers not reached by the new leader"] > 0
+        and world.counts["cancelled"] > 0
+    )
 
 
 def test_a_cut_off_leader_that_goes_on_renewing_leases_breaks_a_rule(
--- a/tests/test_outside_models.py
+++ b/tests/test_outside_models.py
@@ -41,28 +41,30 @@
     return Worker(machine, jobs, LEASE_S, 0.0)
 
 
-def run_order(item: str, attempt: int = 1) -> dict[str, Any]:
-    return {"verb": "run", "item": item, "try": attempt}
+def run_command(task: str, attempt: int = 1) -> dict[str, Any]:
+    return {"verb": "run", "item": task, "try": attempt}
 
 
-def stop_order(item: str, wind_down_s: float, attempt: int = 1) -> dict[str, Any]:
-    return {"verb": "stop", "item": item, "try": attempt, "wind_down_s": wind_down_s}
+def stop_command(task: str, grace_s: float, attempt: int = 1) -> dict[str, Any]:
+    return {"verb": "stop", "item": task, "try": attempt, "wind_down_s": grace_s}
 
 
-def answer_report(worker: Worker, now: float, *orders: dict[str, Any], baton: int = 1) -> bool:
+def answer_report(
+    worker: Worker, now: float, *commands: dict[str, Any], response_token: int = 1
+) -> bool:
     """Deliver the response to a report sent at ``now``; return whether it was accepted."""
     return worker.handle_report_response(
-        now, worker.session, {"baton": baton, "orders": list(orders)}, now
+        now, worker.session, {"baton": response_token, "orders": list(commands)}, now
     )
 
 
 def task_states(worker: Worker) -> dict[str, str]:
-    """Return item#attempt -> exit reason, or phase while the task has not ended."""
+    """Return task#attempt -> exit reason, or phase while the task has not ended."""
     rows = worker.report()["units"]
     return {f"{r['item']}#{r['try']}": r.get("cause") or r["phase"] for r in rows}
 
 
-def post_orders(worker: Worker, now: float, row: Any) -> tuple[int, dict[str, Any]]:
+def post_commands(worker: Worker, now: float, row: Any) -> tuple[int, dict[str, Any]]:
     """Send direct commands; return the status and the decoded body."""
     answer = worker.handle("POST", "/orders", orjson.dumps(row), now)
     return answer.status, orjson.loads(answer.body)
@@ -70,7 +72,7 @@
 
 def test_a_task_fetches_its_image_and_runs_and_its_result_is_kept() -> None:
     worker = make_worker()
-    assert answer_report(worker, 0.0, run_order("job-1/0"))
+    assert answer_report(worker, 0.0, run_command("job-1/0"))
     assert task_states(worker) == {"job-1/0#1": "pulling"}
     worker.advance(1.5)
     assert task_states(worker) == {"job-1/0#1": "running"}
@@ -83,7 +85,7 @@
         TaskEventKind.ENDED,
     ]
     answer_report(
-        worker, 11.5, {"verb": "reap", "item": "job-1/0", "try": 1}, run_order("job-1/0", 2)
+        worker, 11.5, {"verb": "reap", "item": "job-1/0", "try": 1}, run_command("job-1/0", 2)
     )
     worker.advance(11.6)
     assert task_states(worker) == {"job-1/0#2": "done"}
@@ -94,10 +96,10 @@
     answer_report(
         worker,
         0.0,
-        run_order("job-9/0"),
-        run_order("job-1/0"),
-        run_order("job-1/0", 2),
-        run_order("job-2/0"),
+        run_command("job-9/0"),
+        run_command("job-1/0"),
+        run_command("job-1/0", 2),
+        run_command("job-2/0"),
     )
     assert task_states(worker) == {
         "job-9/0#1": "unknown",
@@ -110,30 +112,34 @@
 def test_a_repeated_start_has_no_effect_until_the_task_is_reaped() -> None:
     worker = make_worker()
     answer_report(
-        worker, 0.0, run_order("job-1/0"), stop_order("job-1/0", 0.0), run_order("job-1/0")
+        worker,
+        0.0,
+        run_command("job-1/0"),
+        stop_command("job-1/0", 0.0),
+        run_command("job-1/0"),
     )
     assert task_states(worker) == {"job-1/0#1": "halted"}
     answer_report(
-        worker, 0.1, {"verb": "reap", "item": "job-1/0", "try": 1}, run_order("job-1/0")
+        worker, 0.1, {"verb": "reap", "item": "job-1/0", "try": 1}, run_command("job-1/0")
     )
     assert task_states(worker) == {"job-1/0#1": "pulling"}
 
 
 def test_a_fetch_is_cancelled_when_no_task_waits_for_its_image() -> None:
     worker = make_worker(make_job(), make_job("job-2", bundle="other", size_gb=3.0))
-    answer_report(worker, 0.0, run_order("job-1/0"), run_order("job-2/0"))
+    answer_report(worker, 0.0, run_command("job-1/0"), run_command("job-2/0"))
     # Each image has 0.5 GB so far; from now on the first one gets the whole rate.
-    answer_report(worker, 1.0, stop_order("job-2/0", 0.0))
+    answer_report(worker, 1.0, stop_command("job-2/0", 0.0))
     worker.advance(1.6)
     assert task_states(worker)["job-1/0#1"] == "running"
-    answer_report(worker, 1.6, run_order("job-2/1"))
+    answer_report(worker, 1.6, run_command("job-2/1"))
     worker.advance(4.0)
     assert task_states(worker)["job-2/1#1"] == "pulling"  # the fetch started again from 0
 
 
 def test_images_fetched_at_the_same_time_share_the_fetch_rate() -> None:
     worker = make_worker(make_job(), make_job("job-2", bundle="other"))
-    answer_report(worker, 0.0, run_order("job-1/0"), run_order("job-2/0"))
+    answer_report(worker, 0.0, run_command("job-1/0"), run_command("job-2/0"))
     worker.advance(1.9)
     assert set(task_states(worker).values()) == {"pulling"}
     worker.advance(2.1)
@@ -144,22 +150,22 @@
     rows = [make_job(f"job-{n}", bundle=f"i{n}", size_gb=4.0, real_s=0.1) for n in range(3)]
     worker = make_worker(*rows, cache_gb=8.0)
     for n in range(3):
-        answer_report(worker, n * 6.0, run_order(f"job-{n}/0"))
+        answer_report(worker, n * 6.0, run_command(f"job-{n}/0"))
         worker.advance(n * 6.0 + 5.0)
-    answer_report(worker, 18.0, run_order("job-2/1"), run_order("job-0/1"))
+    answer_report(worker, 18.0, run_command("job-2/1"), run_command("job-0/1"))
     assert task_states(worker)["job-2/1#1"] == "running"
     assert task_states(worker)["job-0/1#1"] == "pulling"
 
 
 def test_a_stopped_task_saves_its_progress_if_its_grace_period_allows() -> None:
     worker = make_worker(make_job(snapshot_s=3.0))
-    answer_report(worker, 0.0, run_order("job-1/0"))
+    answer_report(worker, 0.0, run_command("job-1/0"))
     worker.advance(5.0)
-    answer_report(worker, 5.0, stop_order("job-1/0", 1.0))
+    answer_report(worker, 5.0, stop_command("job-1/0", 1.0))
     assert task_states(worker) == {"job-1/0#1": "flushing"}
     worker.advance(6.1)
     assert worker.report()["units"][0] | {"kept": True} == worker.report()["units"][0]
-    answer_report(worker, 6.1, run_order("job-1/0", 2))
+    answer_report(worker, 6.1, run_command("job-1/0", 2))
     worker.advance(11.9)
     assert task_states(worker)["job-1/0#2"] == "running"  # 10 s, less the 4 s of saved progress
     worker.advance(12.2)
@@ -168,29 +174,29 @@
 
 def test_a_second_stop_without_grace_period_ends_a_task_that_saves() -> None:
     worker = make_worker(make_job(snapshot_s=30.0, flush_s=5.0))
-    answer_report(worker, 0.0, run_order("job-1/0"))
+    answer_report(worker, 0.0, run_command("job-1/0"))
     worker.advance(2.0)
-    answer_report(worker, 2.0, stop_order("job-1/0", 5.0))
-    answer_report(worker, 2.5, stop_order("job-1/0", 3.0))
+    answer_report(worker, 2.0, stop_command("job-1/0", 5.0))
+    answer_report(worker, 2.5, stop_command("job-1/0", 3.0))
     assert task_states(worker) == {"job-1/0#1": "flushing"}
-    answer_report(worker, 3.0, stop_order("job-1/0", 0.0))
+    answer_report(worker, 3.0, stop_command("job-1/0", 0.0))
     assert task_states(worker) == {"job-1/0#1": "halted"}
     assert "kept" not in worker.report()["units"][0]
 
 
 def test_periodic_checkpoints_of_a_task_survive_its_machine() -> None:
     worker = make_worker(make_job(snapshot_s=3.0))
-    answer_report(worker, 0.0, run_order("job-1/0"))
+    answer_report(worker, 0.0, run_command("job-1/0"))
     worker.power_off(8.0)  # 7 s of progress: two checkpoints
     assert worker.job_data.progress("job-1/0") == pytest.approx(6.0)
 
 
 def test_a_response_with_a_lower_token_is_dropped_and_renews_no_lease() -> None:
     worker = make_worker()
-    answer_report(worker, 0.0, baton=5)
-    assert not answer_report(worker, 6.0, run_order("job-1/0"), baton=4)
+    answer_report(worker, 0.0, response_token=5)
+    assert not answer_report(worker, 6.0, run_command("job-1/0"), response_token=4)
     assert not worker.handle_report_response(
-        6.0, worker.session, {"orders": [run_order("job-1/0")]}, 6.0
+        6.0, worker.session, {"orders": [run_command("job-1/0")]}, 6.0
     )
     assert task_states(worker) == {}
     worker.advance(10.1)
@@ -200,18 +206,20 @@
 
 def test_direct_commands_need_token_and_session_and_renew_no_lease() -> None:
     worker = make_worker()
-    assert post_orders(worker, 0.0, {"baton": 3, "orders": []})[0] == 400
-    assert post_orders(worker, 0.0, {"tenure": 1, "orders": []})[0] == 400
+    assert post_commands(worker, 0.0, {"baton": 3, "orders": []})[0] == 400
+    assert post_commands(worker, 0.0, {"tenure": 1, "orders": []})[0] == 400
     assert (
-        post_orders(worker, 0.0, {"baton": 3, "tenure": 2, "orders": [run_order("job-1/0")]})[0]
+        post_commands(
+            worker, 0.0, {"baton": 3, "tenure": 2, "orders": [run_command("job-1/0")]}
+        )[0]
         == 409
     )
-    status, row = post_orders(
-        worker, 0.0, {"baton": 3, "tenure": 1, "orders": [run_order("job-1/0")]}
+    status, row = post_commands(
+        worker, 0.0, {"baton": 3, "tenure": 1, "orders": [run_command("job-1/0")]}
     )
     assert (status, row["baton"], len(row["units"])) == (200, 3, 1)
-    assert post_orders(worker, 9.9, {"baton": 2, "tenure": 1, "orders": []})[0] == 409
-    assert post_orders(worker, 9.9, {"baton": 3, "tenure": 1, "orders": []})[0] == 200
+    assert post_commands(worker, 9.9, {"baton": 2, "tenure": 1, "orders": []})[0] == 409
+    assert post_commands(worker, 9.9, {"baton": 3, "tenure": 1, "orders": []})[0] == 200
     worker.advance(10.1)
     assert (worker.session, task_states(worker)) == (2, {})
 
@@ -225,7 +233,7 @@
 
 def test_an_expired_lease_kills_and_forgets_all_tasks() -> None:
     worker = make_worker(make_job(real_s=60.0))
-    answer_report(worker, 0.0, run_order("job-1/0"))
+    answer_report(worker, 0.0, run_command("job-1/0"))
     worker.advance(10.1)
     assert (task_states(worker), worker.session, worker.killed_tasks) == ({}, 2, 1)
     assert worker.events[-1].reason == "lease"
@@ -233,7 +241,7 @@
 
 def test_a_hanging_machine_makes_no_progress_and_may_resume_within_its_lease() -> None:
     worker = make_worker(make_job(real_s=4.0))
-    answer_report(worker, 0.0, run_order("job-1/0"))
+    answer_report(worker, 0.0, run_command("job-1/0"))
     worker.advance(2.0)
     worker.hang(2.0, 6.0)
     worker.advance(7.9)
@@ -248,11 +256,11 @@
 def test_faulty_machines_fail_tasks_and_slow_ones_delay_them() -> None:
     worker = make_worker(make_job(real_s=4.0))
     worker.faulty = True
-    answer_report(worker, 0.0, run_order("job-1/0"))
+    answer_report(worker, 0.0, run_command("job-1/0"))
     worker.advance(2.0)
     assert task_states(worker) == {"job-1/0#1": "error"}
     worker.faulty = False
-    answer_report(worker, 2.0, run_order("job-1/1"))
+    answer_report(worker, 2.0, run_command("job-1/1"))
     worker.advance(4.0)
     worker.set_speed(4.0, 0.5)
     worker.advance(7.9)
@@ -276,9 +284,9 @@
 
 
 def make_cloud(count: int = 5, **more: Any) -> Cloud:
-    flavour = MachineType("t", 4.0, 16.0, 3.6, 1.2, 10.0, ("a",))
-    kinds = {HostKind("t", "a", loaner): count for loaner in (True, False)}
-    return Cloud({"t": flavour}, kinds, random.Random(1), lambda n: f"h{n}:1", **more)
+    machine_type = MachineType("t", 4.0, 16.0, 3.6, 1.2, 10.0, ("a",))
+    kinds = {HostKind("t", "a", spot): count for spot in (True, False)}
+    return Cloud({"t": machine_type}, kinds, random.Random(1), lambda n: f"h{n}:1", **more)
 
 
 def call(cloud: Cloud, method: str, target: str, body: Any = None, now: float = 0.0) -> Any:
@@ -287,8 +295,8 @@
     return answer.status, orjson.loads(answer.body)
 
 
-def rent(cloud: Cloud, rental: str, number: int, now: float = 0.0, loaner: bool = False) -> Any:
-    row = {"rental": rental, "flavour": "t", "hall": "a", "loaner": loaner, "number": number}
+def rent(cloud: Cloud, rental: str, number: int, now: float = 0.0, spot: bool = False) -> Any:
+    row = {"rental": rental, "flavour": "t", "hall": "a", "loaner": spot, "number": number}
     return call(cloud, "POST", "/hosts", row, now)
 
 
@@ -372,7 +380,7 @@
 
 def test_spot_prices_vary_by_a_third_and_apply_to_machines_rented_before() -> None:
     cloud = make_cloud()
-    name = rent(cloud, "r", 1, loaner=True)[1]["hosts"][0]
+    name = rent(cloud, "r", 1, spot=True)[1]["hosts"][0]
     prices, paid, price = set(), 0.0, cloud.machine_types["t"].spot_price
     for now in range(0, 601, 20):
         _, row = call(cloud, "GET", "/flavors", None, float(now))
@@ -388,7 +396,7 @@
 
 def test_spot_machines_are_reclaimed_with_a_notice_or_without() -> None:
     cloud = make_cloud()
-    names = rent(cloud, "r", 2, loaner=True)[1]["hosts"]
+    names = rent(cloud, "r", 2, spot=True)[1]["hosts"]
     cloud.advance(20.0)
     cloud.events.clear()
     cloud.reclaim_host(names[0], 20.0, silent=True)
--- a/tests/test_store_model.py
+++ b/tests/test_store_model.py
@@ -153,7 +153,7 @@
     max_examples=60,
     stateful_step_count=30,
     deadline=None,
-    derandomize=True,  # every run draws the same examples
+    derandomize=True,  # the same examples in each run that loads the same modules
     suppress_health_check=list(HealthCheck),
 )
 
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -182,7 +182,7 @@
 
 
 def test_scarce_room_is_shared_by_guarantee_without_stopping_runs() -> None:
-    """With too little room for all guarantees, each team's first jobs fill its share.
+    """With room for half of the demand, each team's first jobs fill its share of the room.
 
     Which runs lie beyond a guarantee does not depend on the room.
     """
--- a/tests/world.py
+++ b/tests/world.py
@@ -96,9 +96,15 @@
     async def cut_for(
         self, a: str, b: str, mode: str, seconds: float, one_way: bool = False
     ) -> None:
+        """Cut ``a`` and ``b`` off from each other, and return when the cut has ended.
+
+        With ``one_way`` only messages from ``a`` to ``b`` are cut. ``mode`` is the value of a
+        PartitionMode.
+        """
         await self.gate.cut_for(a, b, mode, seconds, one_way)
 
     def set_zone(self, name: str, zone: str) -> None:
+        """Put an endpoint into a zone, so that cuts of the zone apply to it."""
         self.gate.partitions.groups[name] = (zone,)
 
     async def deliver(self, a: str, b: str) -> None:
@@ -113,6 +119,7 @@
     async def call(
         self, a: str, b: str, method: str, target: str, body: bytes | None
     ) -> ServiceResponse:
+        """Deliver a request from ``a`` to ``b`` and its response back, without a timeout."""
         await self.deliver(a, b)
         service = self.services.get(b)
         if service is None:
@@ -124,6 +131,7 @@
     async def request_with_retry_after(
         self, a: str, b: str, method: str, target: str, body: bytes | None, timeout_s: float
     ) -> ServiceResponse:
+        """Send a request and return its response; raise Refused or NoResponse without one."""
         # A message that was sent is delivered even if the sending process crashes or stalls,
         # so the call runs outside of that process's context.
         call = asyncio.get_running_loop().create_task(
@@ -413,6 +421,7 @@
 
     @staticmethod
     def now() -> float:
+        """The virtual time in seconds."""
         return asyncio.get_running_loop().time()
 
     @property
@@ -432,6 +441,7 @@
 
     @property
     def job_rows(self) -> list[dict[str, Any]]:
+        """The rows of all jobs that were submitted so far."""
         return list(self.jobs.rows.values())
 
     def spawn(self, work: Awaitable[Any]) -> None:
