--- a/tests/test_backfill.py
+++ b/tests/test_backfill.py
@@ -134,7 +134,10 @@
 
 
 def test_background_runs_that_the_reservation_would_stop_are_not_started() -> None:
-    """Guards against starting runs in room that is needed seconds later, which loses them."""
+    """Guards against starting runs in room that is needed seconds later.
+
+    This once happened to hundreds of runs, and the work of all of them was lost.
+    """
     machine = host("h", 4.0, run("r", 2, 10))
     jobs = [entry("head", 4, 9, 1), entry("long", 2, 40, 2)]
     assert not started(decide([machine], jobs))
@@ -442,7 +445,7 @@
 
 
 def test_a_slow_machine_gets_no_task_that_would_be_late_there() -> None:
-    """Guards against a few slow machines that make most arrays late.
+    """Guards against a few machines at half speed that make most arrays late.
 
     An array is as late as its last task, and most arrays have some task on such a machine.
     """
