--- a/tests/test_checker.py
+++ b/tests/test_checker.py
@@ -30,7 +30,7 @@
 from dunehold.protocol import users
 from dunehold.transport.http import Request, Response
 from dunehold.types import JobId
-from tests.test_meetings import cancel_through
+from tests.test_fault_combinations import cancel_through
 from tests.test_rules import no_faults, simulate
 from tests.world import RuleBroken, World
 
--- a/tests/test_dependencies.py
+++ b/tests/test_dependencies.py
@@ -28,7 +28,7 @@
 from dunehold.protocol.state import Change, Entry
 from dunehold.protocol.users import JobSpec, decode_job, decode_job_object, encode_job
 from dunehold.types import JobId, JobPhase, Rank, Revision, WallTime
-from tests.test_meetings import (
+from tests.test_fault_combinations import (
     cancellations_before_outage,
     delayed_commands,
     late_writes,
--- a/tests/test_meetings.py
+++ b/tests/test_fault_combinations.py
@@ -704,8 +704,8 @@
 def soak(combinations: list[Faults]) -> None:
     """Run random combinations for NUMBER seeds from FIRST on and print each result.
 
-    This is not part of CI. Usage: python -m tests.test_further_meetings FIRST NUMBER, or the
-    same with tests.test_meetings.
+    This is not part of CI. Usage: python -m tests.test_further_fault_combinations FIRST NUMBER,
+    or the same with tests.test_fault_combinations.
     """
     first, number = (int(argument) for argument in sys.argv[1:3])
     for seed in range(first, first + number):
--- a/tests/test_further_meetings.py
+++ b/tests/test_further_fault_combinations.py
@@ -1,8 +1,8 @@
 """Further combinations of faults, which occurred on real machines.
 
 Each section brings about one of the later combinations of ``docs/meetings.md``. As in
-``test_meetings.py``, a test asserts that the combination came about and that the rules held. A
-second test patches the safeguard out and expects that a rule breaks or a result gets worse.
+``test_fault_combinations.py``, a test asserts that the combination came about and that the
+rules held. A second test patches the safeguard out and expects that a rule breaks or a result gets worse.
 """
 
 from __future__ import annotations
@@ -47,7 +47,7 @@
 )
 from tests import world as world_module
 from tests.test_dependencies import JOB
-from tests.test_meetings import (
+from tests.test_fault_combinations import (
     FAULT_COMBINATIONS,
     Faults,
     LongTasks,
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -32,7 +32,7 @@
 from dunehold.types import JobPhase, Revision
 from tests import world as world_module
 from tests.test_dependencies import with_pipelines
-from tests.test_meetings import late_writes, leader_of
+from tests.test_fault_combinations import late_writes, leader_of
 from tests.test_orders import WorldWithOrders, replace_and_crashes
 from tests.test_rules import all_faults, crashes, cuts, outages, simulate
 from tests.test_zone_loss import isolate_zone
