--- a/tests/test_further_fault_combinations.py
+++ b/tests/test_further_fault_combinations.py
@@ -2,7 +2,8 @@
 
 Each section brings about one of the later combinations of ``docs/meetings.md``. As in
 ``test_fault_combinations.py``, a test asserts that the combination came about and that the
-rules held. A second test patches the safeguard out and expects that a rule breaks or a result gets worse.
+rules held. A second test patches the safeguard out and expects that a rule breaks or a result
+gets worse.
 """
 
 from __future__ import annotations
